--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -172,7 +172,7 @@
     def listed(self, change: Change, cached: bool = False) -> None:
         """Discovery, or what was known at the start, tells of servers."""
         change = self._starts.corrected(change, cached)
-        self._backends.changed(change)
+        self._backends.update_servers(change)
         mode = (
             interface.ListMode.CACHED
             if cached
@@ -246,7 +246,7 @@
         self._events.clear()
         self._done.clear()
         self._policy = Policy(self._rng.getrandbits(64), self._config.settings, clock.now())
-        self._post(interface.ServersChanged(interface.ListMode.CACHED, tuple(self._backends.listed())))
+        self._post(interface.ServersChanged(interface.ListMode.CACHED, tuple(self._backends.servers())))
         if self._answers_due is not None:
             self._post(interface.ShutdownStarted(self._answers_due))
 
@@ -325,7 +325,7 @@
                 id=request,
                 attempt=number,
                 status=status,
-                elapsed_ns=clock.now() - attempt.begun,
+                elapsed_ns=clock.now() - attempt.started_at_ns,
                 terminal=not inflight.open,
                 billed=answer.billed if answer is not None and status is interface.Status.DELIVERED else None,
                 report=answer.report if answer is not None else (),
@@ -360,7 +360,7 @@
     def _given_up(self, number: int, inflight: InFlight) -> None:
         for attempt in inflight.attempts:
             if attempt is not None:
-                self._backends.drop_idle(attempt.server)  # it did not answer in the client's time
+                self._backends.close_idle(attempt.server)  # it did not answer in the client's time
         self._done.append(number)
 
     def _wake(self, action: interface.Wake) -> None:
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -41,7 +41,7 @@
 def backends(*servers: Address, idle_ns: int = 15_000_000_000, budget: int = 100) -> Backends:
     settings = config_from(raw_config()).settings
     made = Backends(asyncio.get_running_loop(), settings, idle_ns, budget)
-    made.changed(told(*(entry(f"s{number}", address) for number, address in enumerate(servers))))
+    made.update_servers(told(*(entry(f"s{number}", address) for number, address in enumerate(servers))))
     return made
 
 
@@ -135,7 +135,7 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(answer)
             if resets:
-                await until(lambda: any(connection.received for connection in made._open))
+                await until(lambda: any(connection.received_bytes for connection in made._open))
                 writer.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
                 )
@@ -191,7 +191,7 @@
                 made.start(attempt(both))
 
         first = attempt(both)
-        first.ended = ended
+        first.on_end = ended
         made.start(first)
         await until(lambda: len(both) == 2)
         assert [answer and answer.body for _, answer in both] == [BODY, BODY]
@@ -252,7 +252,7 @@
 )
 def test_a_load_report_that_cannot_be_read_is_no_news(report: bytes) -> None:
     async def scenario() -> None:
-        assert backends().report_from(report) == ()
+        assert backends().parse_report(report) == ()
 
     run(scenario())
 
@@ -348,7 +348,7 @@
         assert await ending(made) is interface.Status.DELIVERED
         assert len(made._open) == 1
         await until(lambda: not made._open)
-        assert made._sweep is None  # nothing left to look for
+        assert made._idle_timer is None  # nothing left to look for
 
     run(scenario())
 
@@ -363,7 +363,7 @@
             server.script = (await answering(OK, b"")).script
             statuses.append(await ending(made))
             for connection in made._open:
-                connection.idle_since -= 200_000_000
+                connection.idle_since_ns -= 200_000_000
         assert statuses.count(interface.Status.DROPPED) < 8
         assert statuses[-10:] == [interface.Status.DELIVERED] * 10
 
@@ -376,7 +376,7 @@
         server = await answering(OK)
         made = backends(server.address)
         assert await ending(made) is interface.Status.DELIVERED
-        made.changed(told(entry("s0", server.address, status, since_ms=7), snapshot=False))
+        made.update_servers(told(entry("s0", server.address, status, since_ms=7), snapshot=False))
         assert not made._open
 
     run(scenario())
@@ -392,7 +392,7 @@
             "restarted": told(entry("s0", server.address, since_ms=7), snapshot=False),
             "left out": told(),
         }.get(change) or told(entry("s0", server.address, change), snapshot=False)
-        made.changed(now)
+        made.update_servers(now)
         await until(lambda: bool(ended))
         assert ended[0][0] is interface.Status.DIAL_FAILED
         await until(lambda: server.connections == 1)
@@ -407,7 +407,7 @@
         server = await answering(OK)
         made, ended = backends(server.address), Ended()
         unwanted = attempt(ended)
-        unwanted.wanted = lambda: False
+        unwanted.may_start = lambda: False
         made.start(unwanted)
         await until(lambda: bool(ended))
         assert ended[0][0] is interface.Status.UNUSED
@@ -505,11 +505,11 @@
         assert await ending(made) is interface.Status.DELIVERED
         assert len(made._open) == 1
         if change == "a new address":
-            made.changed(told(entry("s0", new.address), snapshot=False))
+            made.update_servers(told(entry("s0", new.address), snapshot=False))
             assert await ending(made) is interface.Status.DELIVERED
             assert (len(old.requests), len(new.requests)) == (1, 1)
         else:
-            made.changed(told(entry("s9", old.address)))
+            made.update_servers(told(entry("s9", old.address)))
             assert not made._open  # what led to the former process leads nowhere now
             ended = Ended()
             fresh = attempt(ended)
@@ -574,7 +574,7 @@
     async def scenario() -> None:
         server = await silent()
         made, ended = backends(server.address), Ended()
-        made.connect_s = 0.25
+        made.connect_timeout_s = 0.25
         started = clock.now()
         made.start(attempt(ended))
         await until(lambda: bool(held))
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -646,7 +646,7 @@
         client.writer.write(ask())
         await until(lambda: len(server.requests) == 1)
         (connection,) = made.backends._open
-        made.backends.end(connection, interface.Status.DROPPED)
+        made.backends.end_attempt(connection, interface.Status.DROPPED)
         made.runtime.cancelled(1)
         await until(lambda: not made.runtime._in_flight)
         await until(lambda: not made.runtime._policy.in_flight)
--- a/tests/test_gateway_crowd.py
+++ b/tests/test_gateway_crowd.py
@@ -183,7 +183,7 @@
         )  # after hundreds of refused dials, a table full of idle clients
         await away.back(entry("s9", ("127.0.0.1", 1)))
         back.set()
-        await until(lambda: [s.name for s in made.backends.listed()] == ["s9"])
+        await until(lambda: [s.name for s in made.backends.servers()] == ["s9"])
         assert len(pauses) == 500
         assert max(pauses) <= 1.5 * discovery.REOPEN_PAUSE_S
         assert len(crowd) == 40
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -168,7 +168,7 @@
 
         peer = await Peer(script).start()
         made = gateway(old.address, discovery=f"{peer.address[0]}:{peer.address[1]}")
-        await until(lambda: [s.name for s in made.backends.listed()] == ["s9"])
+        await until(lambda: [s.name for s in made.backends.servers()] == ["s9"])
         assert (await (await Client.to(made)).send(ask()))[0] == 200
         assert len(new.requests) == 1
 
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -55,12 +55,12 @@
         old = await discovery(entry("a", one.address), index=900)
         new = await discovery(entry("b", two.address), index=3)
         made = gateway(discovery=at(old))
-        await until(lambda: [s.name for s in made.backends.listed()] == ["a"])
+        await until(lambda: [s.name for s in made.backends.servers()] == ["a"])
         file = tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(discovery=at(new))))
         # The variable is as old as the process: the file must win.
         made.reload({"NODE_CONFIG": str(file), "NODE_DISCOVERY": at(old)})
-        await until(lambda: [s.name for s in made.backends.listed()] == ["b"])
+        await until(lambda: [s.name for s in made.backends.servers()] == ["b"])
         assert new.requests == [b"/catalog/members?follow=1&since=0"]
         await until(lambda: old.requests[1:] == [b""])
         assert (await (await Client.to(made)).send(ask()))[0] == 200
@@ -77,7 +77,7 @@
         server = await answering(OK)
         old = await discovery(entry("a", server.address), index=9)
         made = gateway(discovery=at(old))
-        await until(lambda: [s.name for s in made.backends.listed()] == ["a"])
+        await until(lambda: [s.name for s in made.backends.servers()] == ["a"])
         file = tmp_path / "config.json"
         if content is not None:
             file.write_text(content)
@@ -121,7 +121,7 @@
         file = tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(discovery=at(new))))
         made.reload({"NODE_CONFIG": str(file)})
-        await until(lambda: [s.name for s in made.backends.listed()] == ["b"])
+        await until(lambda: [s.name for s in made.backends.servers()] == ["b"])
         await until(lambda: old.requests[1:] == [b""])
         assert (await (await Client.to(made)).send(ask()))[0] == 200
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -172,8 +172,8 @@
         servers = entries(peers)
         agent = await telling(form(listing(*servers, index=2, snapshot=snapshot)), pieces)
         made = gateway(discovery=f"{agent.address[0]}:{agent.address[1]}")
-        await until(lambda: len(list(made.backends.listed())) == COUNT)
-        assert [one.name for one in made.backends.listed()] == [one["name"] for one in servers]
+        await until(lambda: len(list(made.backends.servers())) == COUNT)
+        assert [one.name for one in made.backends.servers()] == [one["name"] for one in servers]
         assert agent.requests == [b"/catalog/members?follow=1&since=1"]
         assert not any(peer.connections for peer in peers)
         assert (await (await Client.to(made)).send(ask()))[0] == 200
@@ -201,7 +201,7 @@
         made = gateway()
         for change in told:
             made.runtime.listed(change)
-        assert {one.name for one in made.backends.listed()} == {one["name"] for one in new}
+        assert {one.name for one in made.backends.servers()} == {one["name"] for one in new}
         assert (await (await Client.to(made)).send(ask()))[0] == 200
 
     run(scenario())
@@ -333,8 +333,8 @@
         peers = [await answering(OK) for _ in range(LISTENERS)]
         servers = entries(peers)
         made = gateway(known=listing(*servers), limits={"sockets": sockets})
-        assert made.frontend.clients.budget + made.backends._budget + OWN_SOCKETS <= sockets
-        backends, budget = made.backends, made.backends._budget
+        assert made.frontend.clients.budget + made.backends._max_connections + OWN_SOCKETS <= sockets
+        backends, budget = made.backends, made.backends._max_connections
         ended: list[interface.Status] = []
 
         def end(attempt: Attempt, status: interface.Status, answer: Answer | None) -> None:
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -247,13 +247,13 @@
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
         made = gateway(one.address, two.address)
-        budget, made.backends._budget = made.backends._budget, 0
+        budget, made.backends._max_connections = made.backends._max_connections, 0
         client = await Client.to(made)
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
         assert not left_out(made)
-        made.backends._budget = budget
+        made.backends._max_connections = budget
         assert (await client.send(ask("post")))[0] == 200
 
     run(scenario())
@@ -455,7 +455,7 @@
         faults.failing([])
         (connection,) = made._open
         assert connection.socket is not None
-        read_pause.read_again(made.loop, connection.socket, connection.readable, lambda: True)
+        read_pause.read_again(made.loop, connection.socket, connection.on_readable, lambda: True)
         await until(lambda: bool(ended))
         assert ended[0][0] is interface.Status.DELIVERED
 
