--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -20,12 +20,12 @@
 from enum import Enum
 
 from gingerworks import interface as io
-from gingerworks.policy.constants import COUNT_KEEP_NS, MS, SECOND
+from gingerworks.policy.constants import COUNT_TTL_NS, MS, SECOND
 
 # Counts are named by the number of their epoch within a lap.  A lap is no divisor of an hour, so that a clock
 # which is off by whole hours is found out instead of agreeing by chance.
 EPOCHS_IN_LAP = 7
-LAP_NS = EPOCHS_IN_LAP * COUNT_KEEP_NS
+LAP_NS = EPOCHS_IN_LAP * COUNT_TTL_NS
 
 BEACON_LIFE_NS = 500 * MS
 STATED_STEP_NS = 100 * MS  # of the time that a beacon states: totals are exact to seven digits
@@ -35,7 +35,7 @@
 SLEW_MOST_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
 READ_LIFE_NS = MS  # of a count that is only read: it must not shorten the life of what is added after that
 LOCK_LIFE_NS = SECOND  # long enough for whoever sets the time to make that known
-PRESENCE_TURN_NS = COUNT_KEEP_NS // 2  # one presence count is renewed for so long, then the other one
+PRESENCE_TURN_NS = COUNT_TTL_NS // 2  # one presence count is renewed for so long, then the other one
 BEACONS_TO_RENEWAL = 4
 UNMET_MOST = 2  # beacons in a row that meet no other one: then a gateway takes itself for alone
 TAKEOVER_READS = 10  # in a row without a beacon, at the least, before the time is set anew
@@ -229,7 +229,7 @@
                 return LOCK_NAME, 1.0, LOCK_LIFE_NS
             case Step.RENEW:
                 turn = self.time(now) // PRESENCE_TURN_NS
-                return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_KEEP_NS
+                return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_TTL_NS
             case Step.CHECK_FIRST | Step.CHECK_SECOND:
                 return PRESENCE_NAMES[step is Step.CHECK_SECOND], 0.0, READ_LIFE_NS
 
--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -13,7 +13,7 @@
 
 from gingerworks import interface as io
 from gingerworks.policy.clock_sync import EPOCHS_IN_LAP, ClockSync
-from gingerworks.policy.constants import COUNT_KEEP_NS, REPORT_PERIOD_NS, SECOND, SLIVER, SWEEP_NS
+from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.guesses import BUSY, Room, Tally, room_of
 from gingerworks.policy.in_flight import InFlight
@@ -52,7 +52,7 @@
         self.key = f"{request.customer} {request.plan}"
         self.plan = plan = quotas.plans[request.plan]
         digest = hashlib.blake2b(request.customer.encode(), digest_size=8).digest()
-        self.stagger = int.from_bytes(digest, "big") % COUNT_KEEP_NS
+        self.stagger = int.from_bytes(digest, "big") % COUNT_TTL_NS
         cap = max(plan.burst, settings.max_units)
         # Seen for the first time: its even share is surely ours; the first reading tells of the rest.
         self.share = cap / entries
@@ -63,7 +63,7 @@
         # of the quota: all of it, if the rest leaves room in the parts.  Unused refill comes on top of that.
         store, rate, self.credit, self.apart = plan.ceiling_burst, plan.ceiling_rate, CREDIT * cap, 0.0
         room = store - UNUSED_APART * plan.burst - PART_ROOM * settings.max_units * entries
-        part = min(1.0, max(LEAST_APART, room / max(plan.burst, SLIVER)))
+        part = min(1.0, max(LEAST_APART, room / max(plan.burst, EPSILON)))
         rest = store - (part + UNUSED_APART) * plan.burst, rate - part * plan.rate
         if settings.has_counter and plan.rate > 0 < min(rest):
             (store, rate), self.apart = rest, part * plan.burst
@@ -126,12 +126,12 @@
         """Note use that was sent on; what is beyond the burst takes nothing from the store."""
         self.floor.level = max(-self.share, self.floor.level - units)
         least = self.least_sent(now)
-        self.sent_use = least + units if least + units <= self.gap.cap + SLIVER else least
+        self.sent_use = least + units if least + units <= self.gap.cap + EPSILON else least
         self.sent_at = now
 
     def surely_beyond(self, units: float, now: int) -> bool:
         """Whether the store cannot hold these units, whatever the other gateways have sent on."""
-        return max(self.least_used(now), self.least_sent(now)) + units > self.gap.cap + SLIVER
+        return max(self.least_used(now), self.least_sent(now)) + units > self.gap.cap + EPSILON
 
     def asked_for(self, units: float, now: int) -> bool:
         """Note a request; whether many units were asked for here before, within the time of a refill."""
@@ -153,7 +153,7 @@
 
     def advice(self, units: float) -> int:
         """How long until the quota covers a request, if nobody else uses it."""
-        return int(max(0.0, units - self.gap.level) / max(self.plan.rate, SLIVER) * SECOND)
+        return int(max(0.0, units - self.gap.level) / max(self.plan.rate, EPSILON) * SECOND)
 
     def unheard(self, units: float) -> bool:
         """Rule 5: whether this gateway's part of the ceiling covers what no reading has booked."""
@@ -173,7 +173,7 @@
         The time is the one that the gateways have agreed on: with their own clocks, which machines' wall
         clocks have set, some would count under other names and grant what is set apart once more.
         """
-        epoch, age = divmod(self.clock.time(now) + self.stagger, COUNT_KEEP_NS)
+        epoch, age = divmod(self.clock.time(now) + self.stagger, COUNT_TTL_NS)
         digest = hashlib.blake2b(f"{self.key} {epoch % EPOCHS_IN_LAP}".encode(), digest_size=8).digest()
         return int.from_bytes(digest, "big") >> 1, now - age  # the counter's names have 63 bits
 
@@ -213,13 +213,13 @@
         self.repair, self.repair_seen = wrong, before
         lacks = self.gap.cap if self.excess_since is not None else before + wrong
         used = max(self.least_used(now), lacks) + told
-        seconds = max(SLIVER, (now - self.read_at) / SECOND)
+        seconds = max(EPSILON, (now - self.read_at) / SECOND)
         elsewhere = min(self.plan.rate, max(0.0, self.plan.rate + (used - told - self.used) / seconds))
         self.others += (elsewhere - self.others) * seconds / (seconds + REPORT_PERIOD_NS / SECOND)
         self.gap.level = self.gap.cap - used - untold
         verdicts = []
         for inflight, amount in call.held:
-            covered = used + inflight.request.units <= self.gap.cap + SLIVER
+            covered = used + inflight.request.units <= self.gap.cap + EPSILON
             self.dry = not covered
             if covered and not inflight.closed:
                 used += inflight.request.units
@@ -246,7 +246,7 @@
     def idle(self, now: int) -> bool:
         """Whether nothing would be forgotten by dropping this customer."""
         full = self.ceiling is None or self.ceiling.level >= self.ceiling.cap
-        quiet = now - self.seen_at >= (COUNT_KEEP_NS if self.dry else SWEEP_NS)
+        quiet = now - self.seen_at >= (COUNT_TTL_NS if self.dry else SWEEP_PERIOD_NS)
         return full and quiet and self.call is None and self.least_used(now) <= 0.0
 
 
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -8,7 +8,7 @@
 
 from gingerworks import interface as io
 from gingerworks.policy.clock_sync import ClockSync
-from gingerworks.policy.constants import PATIENCE_MEANS, SECOND, SWEEP_NS
+from gingerworks.policy.constants import OVERDUE_MEANS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.customer import Customer
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.guesses import Room
@@ -51,7 +51,7 @@
         self.actions: list[io.Action] = []
         if settings.discovery_on_request:
             self.plan_next(now, lambda: self.actions.append(io.Watch()))
-        self.plan_next(now + SWEEP_NS, self.sweep)
+        self.plan_next(now + SWEEP_PERIOD_NS, self.sweep)
 
     def handle(self, now: int, events: Iterable[io.Event]) -> list[io.Action]:
         """Take in what has happened up to ``now`` and say what to do, in order."""
@@ -103,7 +103,7 @@
     def sweep(self) -> None:
         """Forget idle customers; a line for the staff where a state has changed."""
         self.quotas.sweep(self.now)
-        self.plan_next(self.now + SWEEP_NS, self.sweep)
+        self.plan_next(self.now + SWEEP_PERIOD_NS, self.sweep)
         self._log_changes()
 
     def _log_changes(self) -> None:
@@ -194,9 +194,9 @@
         if backend is None or not (heard or customer.unheard(units)):
             self.decline(inflight, 0)
             return False
-        customer.gap.shift(-charge)
+        customer.gap.adjust(-charge)
         if customer.ceiling is not None:
-            customer.ceiling.shift(-min(units, max(0.0, customer.ceiling.level)) if heard else -units)
+            customer.ceiling.adjust(-min(units, max(0.0, customer.ceiling.level)) if heard else -units)
         self.quotas.sent(inflight, self.now)
         self.retry_budget.refill(RETRY_SHARE)
         self.send(inflight, backend)
@@ -307,7 +307,7 @@
         inflight.attempts.append(Attempt(backend, self.now))
         left = inflight.deadline - self.now
         self.actions.append(io.Assign(inflight.request.id, backend.entry.name, left))
-        patience = int(max(PATIENCE_MEANS * mean, PATIENCE_AIM * inflight.kind.aim_ns))
+        patience = int(max(OVERDUE_MEANS * mean, PATIENCE_AIM * inflight.kind.aim_ns))
         if patience < left:
             self.plan_next(self.now + patience, lambda: self.overdue(inflight))
 
@@ -329,10 +329,10 @@
         if limits.hedging:
             backend = self.choose(inflight)
             if backend is not None and backend is not last.backend:
-                self.retry_budget.shift(-1.0)
+                self.retry_budget.adjust(-1.0)
                 self.send(inflight, backend)
         elif limits.may_cancel and len(inflight.attempts) < limits.attempts:
-            self.retry_budget.shift(-1.0)
+            self.retry_budget.adjust(-1.0)
             self.actions.append(io.CancelAttempt(inflight.request.id, len(inflight.attempts) - 1))
 
     def _stop_counting_late(self, inflight: InFlight[Customer]) -> None:
@@ -367,7 +367,7 @@
         # what never left tells nothing at all.
         target = self.servers.target(kind)
         if outcome.status is io.Status.SHED:
-            self.shedder.spent += PATIENCE_MEANS * target
+            self.shedder.spent += OVERDUE_MEANS * target
         elif outcome.status not in (io.Status.EXPIRED, io.Status.UNUSED):
             self.shedder.allowed += target
 
@@ -375,7 +375,7 @@
         """Charge the difference between the units billed and those first asked for."""
         if outcome.billed is not None and inflight.customer.plan.rate > 0:
             more = outcome.billed - inflight.request.units
-            inflight.customer.gap.shift(-more)
+            inflight.customer.gap.adjust(-more)
             inflight.customer.pending += more
 
     def again(self, inflight: InFlight[Customer], outcome: io.Outcome) -> None:
@@ -387,7 +387,7 @@
         backend = self.choose(inflight) if left and self.retry_budget.covers(cost) else None
         if backend is None:
             return self.finish(inflight)
-        self.retry_budget.shift(-cost)
+        self.retry_budget.adjust(-cost)
         return self.send(inflight, backend)
 
     def finish(self, inflight: InFlight[Customer]) -> None:
--- a/gingerworks/policy/gap_counter.py
+++ b/gingerworks/policy/gap_counter.py
@@ -8,7 +8,7 @@
 
 import math
 
-from gingerworks.policy.constants import SLIVER
+from gingerworks.policy.constants import EPSILON
 
 INTERVALS_TO_FULL = 40  # the paper's recommended N, counted in increments m (its Table 1)
 
@@ -41,8 +41,8 @@
 
     def covers(self, units: float) -> bool:
         """Whether the allowance covers a request in full."""
-        return self.level >= units - SLIVER
+        return self.level >= units - EPSILON
 
-    def shift(self, amount: float) -> None:
+    def adjust(self, amount: float) -> None:
         """Take (below 0) or give back allowance."""
         self.level = min(self.cap, self.level + amount)
--- a/gingerworks/policy/guesses.py
+++ b/gingerworks/policy/guesses.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from gingerworks.policy.constants import SLIVER
+from gingerworks.policy.constants import EPSILON
 from gingerworks.policy.gap_counter import GapCounter
 
 CUSTOMER_MEMORY = 0.8  # of a customer's earlier readings, at each further one: about the last five count
@@ -109,7 +109,7 @@
         self._mean_loss = Mean()
         self._mean_worth = Mean()
         # Empty at first: what a former life of this gateway let in is not known.
-        self._budget = GapCounter(SLIVER, 0.0, 0.0)
+        self._budget = GapCounter(EPSILON, 0.0, 0.0)
 
     def chance(self, plan: str, is_retry: bool, room: Room, of_customer: Tally) -> float:
         """The chance that a reading lets such a request of a customer with these readings pass."""
@@ -131,20 +131,20 @@
             return True
         # As often as ``asking`` says while that is little, and ever nearer to all as the counter keeps up.
         often = asking / (1.0 - asking**2)
-        return self._rng.random() < often * doubt.loss / max(SLIVER, self._mean_loss.value)
+        return self._rng.random() < often * doubt.loss / max(EPSILON, self._mean_loss.value)
 
     def lets_in(self, doubt: Doubt) -> bool:
         """Whether to let in a request unasked: its gain is worth it, the more so the less budget is left."""
         cost, budget = doubt.guess_cost, self._budget
         if not budget.covers(cost) or doubt.chance * doubt.worth * budget.level < cost * budget.cap:
             return False
-        budget.shift(-cost)
+        budget.adjust(-cost)
         return True
 
     def sent(self, worth: float) -> None:
         """A request was sent on: what guesses may cost grows with it."""
         self._mean_worth.add(worth)
-        self._budget.resize(max(SLIVER, OVERRUN_BURST * self._mean_worth.value))
+        self._budget.resize(max(EPSILON, OVERRUN_BURST * self._mean_worth.value))
         self._budget.refill(OVERRUN_SHARE * worth)
 
 
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -5,7 +5,7 @@
 import math
 
 from gingerworks import interface as io
-from gingerworks.policy.constants import SECOND, STRAIN_AIM
+from gingerworks.policy.constants import SECOND, TARGET_AIM_FRACTIONS
 
 LOAD_MEMORY_NS = 3 * SECOND  # memory of the load: several answers at a gateway of few requests
 PRIOR_ANSWERS = 40.0  # unpressed ones taken for granted: as many vary by a tenth if work varies by its mean
@@ -26,7 +26,7 @@
         self.out = 0
         self.spent = self.allowed = 0.0
         # Guards against a gateway of few requests, as each is in a large fleet, taking chance for overload.
-        self.prior = PRIOR_ANSWERS * STRAIN_AIM[0] * min(kind.aim_ns for kind in settings.classes)
+        self.prior = PRIOR_ANSWERS * TARGET_AIM_FRACTIONS[0] * min(kind.aim_ns for kind in settings.classes)
         self.at = now
         self.offered = {(c.name, p.name): [0.0, 0.0] for c in settings.classes for p in settings.plans}
 
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -11,7 +11,7 @@
 
 from gingerworks import interface as io
 from gingerworks.policy.clock_sync import ClockSync
-from gingerworks.policy.constants import COUNT_KEEP_NS, REPORT_PERIOD_NS, SECOND
+from gingerworks.policy.constants import COUNT_TTL_NS, REPORT_PERIOD_NS, SECOND
 from gingerworks.policy.customer import Call, Customer
 from gingerworks.policy.guesses import Doubt, Guesses, Room
 from gingerworks.policy.in_flight import InFlight
@@ -129,7 +129,7 @@
         name, began = customer.count_name(now)
         call = customer.call = self.calls[name] = Call(customer, began, repair, self.clock.agrees(now))
         customer.pending, customer.waiting = 0.0, []
-        return [io.Count(name, call.amount, COUNT_KEEP_NS)]
+        return [io.Count(name, call.amount, COUNT_TTL_NS)]
 
     def repair(self, customer: Customer, now: int) -> list[io.Count]:
         """Put right what the last reading found wrong, unless this gateway has just done so.
--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Sequence
 
 from gingerworks import interface as io
-from gingerworks.policy.constants import PATIENCE_MEANS, SECOND, SLIVER, STRAIN_AIM
+from gingerworks.policy.constants import EPSILON, OVERDUE_MEANS, SECOND, TARGET_AIM_FRACTIONS
 from gingerworks.policy.gap_counter import GapCounter
 
 MEAN_GAIN = 0.005  # of mean answer times: two hundred answers, as a chance dip would set the floor low
@@ -104,7 +104,7 @@
         # load is taken to be no more than the servers could bear if all were warm.
         if self.taken < SEEN_ENOUGH:
             return requests / servers
-        most = self.settings.rules.overload_factor * self.taken / max(SLIVER, self.stood)
+        most = self.settings.rules.overload_factor * self.taken / max(EPSILON, self.stood)
         return min(requests / max(1.0, total), most * elapsed / SECOND)
 
     def pick(self, now: int, mean: float, allowed: Iterable[Backend], tried: Sequence[str]) -> Backend | None:
@@ -126,7 +126,7 @@
     def wait(self, backend: Backend, now: int, mean: float) -> float:
         """Expected answer time in mean answer times, by own attempts out and learned speed."""
         wait = backend.slow * (1.0 + backend.out)
-        if backend.out and now - backend.waiting_since > PATIENCE_MEANS * mean:
+        if backend.out and now - backend.waiting_since > OVERDUE_MEANS * mean:
             wait += (now - backend.waiting_since) / mean  # a stall: all that is out has gone unanswered
         if now - backend.met_at > MET_NS:
             wait += HANDSHAKE
@@ -136,7 +136,7 @@
 
     def target(self, kind: io.RequestClass) -> float:
         """The answer time to steer for when pressed: little queueing, and well within the aim."""
-        least, most = STRAIN_AIM
+        least, most = TARGET_AIM_FRACTIONS
         return min(most * kind.aim_ns, max(least * kind.aim_ns, STRAIN * self.bases[kind.name]))
 
     def sent(self, backend: Backend, now: int) -> None:
@@ -145,7 +145,7 @@
             backend.waiting_since = now
         backend.out += 1
         if backend.warmth < 1.0:
-            backend.slow_start.shift(-1.0)
+            backend.slow_start.adjust(-1.0)
 
     def answered(self, backend: Backend, outcome: io.Outcome, kind: io.RequestClass, now: int) -> None:
         """Learn from an outcome."""
--- a/tests/test_gap_counter.py
+++ b/tests/test_gap_counter.py
@@ -23,7 +23,7 @@
     accepted = 0
     for _ in range(arrivals):
         if counter.covers(1):
-            counter.shift(-1)
+            counter.adjust(-1)
             accepted += 1
     counter.refill(1.0)
     return round(counter.level), accepted
@@ -68,7 +68,7 @@
 
 def test_unused_allowance_is_carried_to_the_cap_and_no_further() -> None:
     counter = GapCounter(10, 10, 0.0)
-    counter.shift(-4)
+    counter.adjust(-4)
     counter.refill(100)
     assert counter.level == 10
     assert counter.covers(10)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -10,7 +10,7 @@
 
 from gingerworks import interface as io
 from gingerworks.policy import Policy
-from gingerworks.policy.constants import SLIVER
+from gingerworks.policy.constants import EPSILON
 from gingerworks.policy.customer import Call, Customer
 from gingerworks.policy.quotas import LEAST_ASKING, Quotas
 from tests.support import MS, SECOND, SMALL, kinds, listing, request, served, server, settings, started
@@ -361,7 +361,7 @@
     assert not c.ceiling.covers(1)
     c.advance(SECOND)
     assert c.ceiling.covers(20 / 3 - c.ceiling.m)
-    assert not c.ceiling.covers(20 / 3 + 2 * SLIVER)
+    assert not c.ceiling.covers(20 / 3 + 2 * EPSILON)
     c.advance(60 * SECOND)
     assert c.ceiling.covers((27 + 3) / 3)
     assert not c.ceiling.covers((27 + 6) / 3)
