--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -231,16 +231,16 @@
         if self.paused and not self.deaf and len(self.ready) <= PIPELINED and self.transport is not None:
             self._resume()
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Pass on a server's answer."""
         self._final(200, answer.body, b"".join(b"%b: %b\r\n" % header for header in answer.headers))
 
-    def refused(self, retry_after_ns: int, sent_on: bool) -> None:
+    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
         """Refuse: 503 where the servers could not, 429 where nothing was sent on."""
         head = b"Retry-After: %.3f\r\n" % (retry_after_ns / clock.NS_PER_S)
         self._final(503 if sent_on else 429, b"refused", head)
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Fail."""
         self._final(502, b"failed")
 
@@ -300,9 +300,9 @@
         Guards against sending on what nobody waits for: a connection that is not read tells of no end.
         """
         ahead = self.paused and bool(self.ready) and isinstance(self.ready[0], Message)
-        return (self.number is not None or ahead) and self.gone()
+        return (self.number is not None or ahead) and self.has_disconnected()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its connection, or its side of it, be it read or not."""
         if self.transport is None or self.transport.is_closing():
             return True
@@ -313,7 +313,7 @@
         except OSError:
             return False  # not known for now: whoever has not gone is owed an answer
 
-    def close_may_be_hidden(self) -> bool:
+    def disconnect_may_be_hidden(self) -> bool:
         """Whether the client may have closed its connection, unseen for what it sent ahead."""
         if not self.paused:
             return False
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -29,19 +29,19 @@
 class Client(Protocol):
     """Whoever waits for the answer to a request; told exactly once, unless it left first."""
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Pass on a server's answer."""
 
-    def refused(self, retry_after_ns: int, sent_on: bool) -> None:
+    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
         """Say that trying again is harmless, and when."""
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Say that it failed, with no promise."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left, also where that was not read yet."""
 
-    def close_may_be_hidden(self) -> bool:
+    def disconnect_may_be_hidden(self) -> bool:
         """Whether it might have left without that being seen, for all that it has sent ahead."""
 
 
@@ -241,7 +241,7 @@
                     self._backends.abandon(attempt)
             if inflight.open:
                 inflight.open = False
-                inflight.client.failed()
+                inflight.client.send_failure()
         self._in_flight.clear()
         self._events.clear()
         self._done.clear()
@@ -253,7 +253,7 @@
     def _fail(self, number: int, inflight: InFlight) -> None:
         if inflight.open:
             inflight.open = False
-            inflight.client.failed()
+            inflight.client.send_failure()
             self._post(interface.RequestCancelled(number))
         # Guards against an attempt that never began being taken for one that is out, here and in the module.
         for attempt_number, attempt in enumerate(inflight.attempts):
@@ -285,9 +285,9 @@
         Guards against sending on what nobody waits for: a close may lie unread behind a turn's other work,
         behind what the client wrote ahead, or behind the request itself where that was accepted late.
         """
-        if inflight.open and inflight.client.gone():
+        if inflight.open and inflight.client.has_disconnected():
             self.cancelled(number)
-        if inflight.open and inflight.client.close_may_be_hidden():
+        if inflight.open and inflight.client.disconnect_may_be_hidden():
             if inflight.out > 1:
                 return False  # another attempt is out and may still be answered
             self._give_up_unseen(number, inflight)
@@ -297,10 +297,10 @@
         """End a request whose client may have left unseen: refused, unless an attempt may have run."""
         limits = self._config.settings.limits
         if inflight.may_have_run:
-            inflight.client.failed()
+            inflight.client.send_failure()
         else:
             most = limits.max_retry_after_ns if limits.retry_after else 0
-            inflight.client.refused(min(SOON_NS, most), False)
+            inflight.client.send_refusal(min(SOON_NS, most), False)
         self.cancelled(number)
 
     def _ended(
@@ -319,7 +319,7 @@
         if first:
             assert answer is not None
             inflight.open = False
-            inflight.client.served(answer)
+            inflight.client.send_answer(answer)
         self._post(
             interface.Outcome(
                 id=request,
@@ -347,14 +347,14 @@
         inflight = self._in_flight.get(action.id)
         if inflight is not None and inflight.open:
             inflight.open = False
-            inflight.client.refused(action.retry_after_ns, bool(inflight.attempts))
+            inflight.client.send_refusal(action.retry_after_ns, bool(inflight.attempts))
             self._given_up(action.id, inflight)
 
     def _failed(self, action: interface.Fail) -> None:
         inflight = self._in_flight.get(action.id)
         if inflight is not None and inflight.open:
             inflight.open = False
-            inflight.client.failed()
+            inflight.client.send_failure()
             self._given_up(action.id, inflight)
 
     def _given_up(self, number: int, inflight: InFlight) -> None:
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -588,7 +588,7 @@
             asked.append(connection)
             return len(asked) > 2  # after the first attempt's two looks at the most
 
-        monkeypatch.setattr(ClientConnection, "close_may_be_hidden", hidden)
+        monkeypatch.setattr(ClientConnection, "disconnect_may_be_hidden", hidden)
         status, head, _ = await (await Client.to(made)).send(ask("post"))
         assert len(asked) > 2
         assert status == 429
