--- a/gingerworks/gateway/arrival.py
+++ b/gingerworks/gateway/arrival_times.py
@@ -13,11 +13,11 @@
 
 
 @dataclass(frozen=True)
-class Arrival:
+class ArrivalTimes:
     """Between which times the data of one read came."""
 
-    earliest: int
-    latest: int  # of its last byte
+    earliest_ns: int
+    latest_ns: int  # of its last byte
 
 
 def last_data_age_ns(sock: socket.socket) -> int | None:
@@ -32,7 +32,7 @@
     return int(milliseconds) * clock.NS_PER_MS
 
 
-class Arrivals:
+class ArrivalTracker:
     """The arrival times on one connection; its reader tells of each read and of each pause.
 
     The kernel tells the age of the latest data alone, and on some systems nothing or by another clock.  So an
@@ -62,13 +62,13 @@
         if emptied:
             self._empty_at, self._paused = began_at, False
 
-    def end_read(self, emptied: bool) -> Arrival:
+    def end_read(self, emptied: bool) -> ArrivalTimes:
         """When the data of this read came; ``emptied``: nothing was left unread as it began."""
         now = clock.now()
         age = last_data_age_ns(self._socket)
-        latest = now if age is None else min(now, max(now - age, self._empty_at))
+        latest_ns = now if age is None else min(now, max(now - age, self._empty_at))
         # Of several messages that a pause kept unread the kernel knows only the last one's age.
-        earliest = self._empty_at if self._paused else latest
+        earliest_ns = self._empty_at if self._paused else latest_ns
         if emptied:
             self._empty_at, self._paused = self._began_at, False
-        return Arrival(earliest, latest)
+        return ArrivalTimes(earliest_ns, latest_ns)
--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -11,10 +11,10 @@
 import httptools
 
 from gingerworks import interface as io
-from gingerworks.gateway import clock, numerals
+from gingerworks.gateway import clock, number_parsing
 from gingerworks.gateway.dial import Dial, DialError, DialFailure
 from gingerworks.gateway.discovery import Change, Endpoint
-from gingerworks.gateway.read_pause import read_again_later
+from gingerworks.gateway.read_retry import retry_read_later
 from gingerworks.gateway.staleness import AT_ONCE_NS, Staleness
 from gingerworks.gateway.system_errors import (
     DESCRIPTOR_SHORTAGE,
@@ -189,7 +189,7 @@
     def _read_later(self) -> None:
         sock = self.socket
         assert sock is not None
-        read_again_later(self.backends.loop, sock, self.readable, lambda: self.socket is sock)
+        retry_read_later(self.backends.loop, sock, self.readable, lambda: self.socket is sock)
 
     def _closed(self) -> None:
         """The connection has ended: so has an answer that states no length, any other is cut."""
@@ -226,7 +226,7 @@
         # Guards, here and below, against bytes behind a whole answer altering it.
         if self.complete:
             return
-        name, value, answer = name.lower(), value.rstrip(numerals.BLANKS), self.answer
+        name, value, answer = name.lower(), value.rstrip(number_parsing.OPTIONAL_WHITESPACE), self.answer
         self.framed = self.framed or name in FRAMING
         if name == b"content-length" and int(value) > BODY_BYTES:
             raise Unreadable(f"a body of {value.decode()} bytes")  # without waiting for it
@@ -399,7 +399,7 @@
 
     def units_from(self, value: bytes) -> float | None:
         """True units as a server tells them; what cannot be true is no news."""
-        units = numerals.decimal(value)
+        units = number_parsing.parse_decimal(value)
         return units if units is not None and 0 < units <= self._settings.max_units else None
 
     def report_from(self, value: bytes) -> tuple[tuple[str, float], ...]:
--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -11,10 +11,10 @@
 
 import httptools
 
-from gingerworks.gateway import clock, numerals
-from gingerworks.gateway.arrival import Arrivals
+from gingerworks.gateway import clock, number_parsing
+from gingerworks.gateway.arrival_times import ArrivalTracker
 from gingerworks.gateway.backend import Answer
-from gingerworks.gateway.client_owner import ClientOwner
+from gingerworks.gateway.connection_owner import ConnectionOwner
 from gingerworks.gateway.requests import BODY_BYTES, HEAD_BYTES, Message, Refusal
 from gingerworks.gateway.system_errors import TRY_AGAIN
 
@@ -44,7 +44,7 @@
 class ClientConnection(asyncio.BufferedProtocol):
     """One connection of a client; one request at a time is held."""
 
-    def __init__(self, owner: ClientOwner[ClientConnection], sock: socket.socket) -> None:
+    def __init__(self, owner: ConnectionOwner[ClientConnection], sock: socket.socket) -> None:
         self.owner = owner
         self.socket = sock
         self.transport: asyncio.Transport | None = None
@@ -53,7 +53,7 @@
         self.ready: deque[Message | Refusal] = deque()
         self.number: int | None = None  # of the request that is held
         self.since = clock.now()  # what is waited for now
-        self.arrivals = Arrivals(sock, owner.backlog_empty_at)
+        self.arrivals = ArrivalTracker(sock, owner.backlog_empty_at)
         self.asked = False  # a whole request has come
         self.leaving = False  # the last answer was written: nothing further is read or asked
         self.deaf = False  # nothing further is read
@@ -101,7 +101,7 @@
         fresh, self.begun = not self.reading, 0
         emptied = nbytes < len(self.owner.buffer)
         arrival = self.arrivals.end_read(emptied)
-        self.arrived_at, waiting = arrival.earliest, len(self.ready)
+        self.arrived_at, waiting = arrival.earliest_ns, len(self.ready)
         try:
             self.parser.feed_data(self.owner.buffer[:nbytes])
         except httptools.HttpParserCallbackError as fault:
@@ -114,7 +114,7 @@
             self.deaf = True
             self.message.keep_alive = False
         if emptied and not self.reading and len(self.ready) > waiting and self.ready[-1] is self.message:
-            self.message.arrived_at = arrival.latest  # its last byte is the last that has come
+            self.message.arrived_at = arrival.latest_ns  # its last byte is the last that has come
         # Guards against a head or a frame without end: the parser keeps it and tells only of whole fields.
         if self.reading and self.begun == fresh:
             self.unfinished += nbytes
@@ -166,7 +166,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser's callback."""
         self.message.grow(len(name) + len(value) + 4)
-        self.message.headers.append((name, value.rstrip(numerals.BLANKS)))
+        self.message.headers.append((name, value.rstrip(number_parsing.OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
         """Parser's callback."""
--- a/gingerworks/gateway/client_owner.py
+++ b/gingerworks/gateway/connection_owner.py
@@ -10,7 +10,7 @@
 Connection = TypeVar("Connection", contravariant=True)
 
 
-class ClientOwner(Protocol[Connection]):
+class ConnectionOwner(Protocol[Connection]):
     """The owner of clients' connections: it keeps their table and carries out their requests."""
 
     @property
--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 
 from gingerworks import interface as io
-from gingerworks.gateway import clock, numerals
+from gingerworks.gateway import clock, number_parsing
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.dial import Dial, DialError, DialFailure
-from gingerworks.gateway.read_pause import read_again_later
+from gingerworks.gateway.read_retry import retry_read_later
 from gingerworks.gateway.system_errors import SHORTAGE, SHORTAGE_PAUSE_S, TRY_AGAIN, explain
 
 REST_NS = (
@@ -225,7 +225,7 @@
     def _read_later(self) -> None:
         sock = self._socket
         assert sock is not None
-        read_again_later(self._loop, sock, self._readable, lambda: self._socket is sock)
+        retry_read_later(self._loop, sock, self._readable, lambda: self._socket is sock)
 
     def _spoilt(self) -> None:
         """What belongs to which call is not known any more; the counter is there, so no pause is due."""
@@ -240,7 +240,7 @@
         word, _, rest = line.partition(b" ")
         level = 0.0
         if word == b"ok":
-            total = numerals.signed(rest)
+            total = number_parsing.parse_signed(rest)
             if total is None:
                 return False
             level, status = total, io.Status.DELIVERED
--- a/gingerworks/gateway/numerals.py
+++ b/gingerworks/gateway/number_parsing.py
@@ -5,7 +5,7 @@
 import math
 import re
 
-BLANKS = (
+OPTIONAL_WHITESPACE = (
     b" \t"  # may stand behind a header's value and are no part of it (RFC 9110, 5.5); the parser keeps them
 )
 
@@ -15,17 +15,17 @@
 _SIGNED = re.compile(rb"-?[0-9]{1,18}(\.[0-9]{1,18})?([eE][-+]?[0-9]{1,3})?")
 
 
-def whole(text: bytes) -> int | None:
+def parse_whole(text: bytes) -> int | None:
     """A whole number of at least 0, or none."""
     return int(text) if _WHOLE.fullmatch(text) else None
 
 
-def decimal(text: bytes) -> float | None:
+def parse_decimal(text: bytes) -> float | None:
     """A number of at least 0 with or without decimals, or none."""
     return float(text) if _DECIMAL.fullmatch(text) else None
 
 
-def signed(text: bytes) -> float | None:
+def parse_signed(text: bytes) -> float | None:
     """A finite number, with a sign or an exponent where need be, or none."""
     value = float(text) if _SIGNED.fullmatch(text) else math.inf
     return value if math.isfinite(value) else None
--- a/gingerworks/gateway/read_pause.py
+++ b/gingerworks/gateway/read_retry.py
@@ -9,7 +9,7 @@
 from gingerworks.gateway.system_errors import SHORTAGE_PAUSE_S
 
 
-def read_again_later(
+def retry_read_later(
     loop: asyncio.AbstractEventLoop,
     sock: socket.socket,
     readable: Callable[[], None],
@@ -20,10 +20,10 @@
     Guards against a spin: a socket counts as readable while this host has no buffers to read it.
     """
     loop.remove_reader(sock.fileno())
-    loop.call_later(SHORTAGE_PAUSE_S, read_again, loop, sock, readable, held)
+    loop.call_later(SHORTAGE_PAUSE_S, retry_read, loop, sock, readable, held)
 
 
-def read_again(
+def retry_read(
     loop: asyncio.AbstractEventLoop,
     sock: socket.socket,
     readable: Callable[[], None],
@@ -35,4 +35,4 @@
     try:
         loop.add_reader(sock.fileno(), readable)
     except OSError:
-        read_again_later(loop, sock, readable, held)
+        retry_read_later(loop, sock, readable, held)
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -5,7 +5,7 @@
 import re
 
 from gingerworks import interface as io
-from gingerworks.gateway import clock, numerals
+from gingerworks.gateway import clock, number_parsing
 
 HEAD_BYTES = 16 * 1024
 BODY_BYTES = 64 * 1024
@@ -72,7 +72,9 @@
         length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
         if coding is not None and (length is not None or coding.lower() != b"chunked"):
             raise Refusal(400, "Transfer-Encoding: with a length, or not chunked")
-        if length is not None and ((octets := numerals.whole(length)) is None or octets > BODY_BYTES):
+        if length is not None and (
+            (octets := number_parsing.parse_whole(length)) is None or octets > BODY_BYTES
+        ):
             raise Refusal(413, "the body is too large")
 
     def has_body(self) -> bool:
@@ -142,7 +144,7 @@
             raise Refusal(400, "X-Contract: unknown")
         if not _CUSTOMER.fullmatch(path[2]) or int(path[2], 16) >= CUSTOMERS:
             raise Refusal(400, "the customer is not 16 hex digits below 2^33")
-        left = numerals.decimal(headers.get(b"x-time-left", b""))
+        left = number_parsing.parse_decimal(headers.get(b"x-time-left", b""))
         if not left:
             raise Refusal(400, "X-Time-Left: missing or bad")
         units, spread = self._metering(headers.get(b"x-metering", b""))
@@ -160,10 +162,10 @@
     def _metering(self, value: bytes) -> tuple[float, int]:
         parts = [part.strip().partition(b"=")[::2] for part in value.split(b",")]
         pairs = dict(parts)
-        units = numerals.decimal(pairs.get(b"units", b""))
+        units = number_parsing.parse_decimal(pairs.get(b"units", b""))
         if len(pairs) < len(parts) or not units or units > self._max_units:
             raise Refusal(400, "X-Metering: units")
-        spread, first = (numerals.whole(pairs.get(name, b"")) for name in (b"spread", b"first"))
+        spread, first = (number_parsing.parse_whole(pairs.get(name, b"")) for name in (b"spread", b"first"))
         if spread is None or first is None or not 1 <= spread <= self._gateways or first >= self._gateways:
             raise Refusal(400, "X-Metering: no set of gateways")
         return units, spread
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -17,7 +17,7 @@
 
 from gingerworks import interface as io
 from gingerworks.gateway import client as client_module
-from gingerworks.gateway import client_table, clock, dial, discovery, frontend, read_pause, shutdown
+from gingerworks.gateway import client_table, clock, dial, discovery, frontend, read_retry, shutdown
 from gingerworks.gateway import counter as counter_module
 from gingerworks.gateway.__main__ import Gateway
 from gingerworks.gateway.discovery import change_from
@@ -442,7 +442,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Each turn of the loop tried anew, with all of a core, until the attempt's time was over.
-    monkeypatch.setattr(read_pause, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(read_retry, "SHORTAGE_PAUSE_S", 3600.0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -455,7 +455,7 @@
         faults.failing([])
         (connection,) = made._open
         assert connection.socket is not None
-        read_pause.read_again(made.loop, connection.socket, connection.readable, lambda: True)
+        read_retry.retry_read(made.loop, connection.socket, connection.readable, lambda: True)
         await until(lambda: bool(ended))
         assert ended[0][0] is io.Status.DELIVERED
 
@@ -466,7 +466,7 @@
 def test_a_lasting_want_of_buffers_for_the_counters_answers_is_met_by_pauses(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(read_pause, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(read_retry, "SHORTAGE_PAUSE_S", 3600.0)
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -11,7 +11,7 @@
 import pytest
 
 from gingerworks import interface as io
-from gingerworks.gateway import arrival, backend, clock
+from gingerworks.gateway import arrival_times, backend, clock
 from gingerworks.gateway.__main__ import Gateway
 from gingerworks.gateway.dial import Dial
 from gingerworks.policy.driver import PATIENCE_AIM
@@ -118,7 +118,7 @@
 
 
 def test_an_age_counts_no_further_back_than_the_backlog_was_empty(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(arrival, "last_data_age_ns", lambda sock: 3600 * clock.NS_PER_S)
+    monkeypatch.setattr(arrival_times, "last_data_age_ns", lambda sock: 3600 * clock.NS_PER_S)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -321,7 +321,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, age_ns: int | None) -> None:
         self.now, self.age_ns = 1_000 * clock.NS_PER_S, age_ns
         monkeypatch.setattr(clock, "now", lambda: self.now)
-        monkeypatch.setattr(arrival, "last_data_age_ns", lambda sock: self.age_ns)
+        monkeypatch.setattr(arrival_times, "last_data_age_ns", lambda sock: self.age_ns)
 
     def after(self, seconds: float) -> int:
         self.now += int(seconds * clock.NS_PER_S)
@@ -331,32 +331,32 @@
 def test_where_the_age_of_data_is_unknown_it_came_as_it_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     ages = Ages(monkeypatch, None)
     with socket.socket() as sock:
-        arrivals = arrival.Arrivals(sock, ages.now)
+        arrivals = arrival_times.ArrivalTracker(sock, ages.now)
         ages.after(1.0)
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True) == arrival.Arrival(ages.now, ages.now)
+        assert arrivals.end_read(emptied=True) == arrival_times.ArrivalTimes(ages.now, ages.now)
 
 
 def test_an_age_counts_only_back_to_when_the_connection_held_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     ages = Ages(monkeypatch, 3600 * clock.NS_PER_S)  # by another clock
     with socket.socket() as sock:
         empty_at = ages.now
-        arrivals = arrival.Arrivals(sock, empty_at)
+        arrivals = arrival_times.ArrivalTracker(sock, empty_at)
         began_at = ages.after(0.1)
         arrivals.begin_read()
         ages.after(0.01)
-        assert arrivals.end_read(emptied=False).latest == empty_at  # more of the same is still unread
+        assert arrivals.end_read(emptied=False).latest_ns == empty_at  # more of the same is still unread
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True).latest == empty_at
+        assert arrivals.end_read(emptied=True).latest_ns == empty_at
         ages.after(0.01)
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True).latest == began_at + 10 * clock.NS_PER_MS
+        assert arrivals.end_read(emptied=True).latest_ns == began_at + 10 * clock.NS_PER_MS
 
 
 def test_of_what_a_pause_kept_unread_only_the_last_has_a_known_age(monkeypatch: pytest.MonkeyPatch) -> None:
     ages = Ages(monkeypatch, None)
     with socket.socket() as sock:
-        arrivals = arrival.Arrivals(sock, ages.now)
+        arrivals = arrival_times.ArrivalTracker(sock, ages.now)
         began_at = ages.after(0.1)
         arrivals.begin_read()
         arrivals.end_read(emptied=True)
@@ -365,10 +365,12 @@
         ages.age_ns = AGE_NS
         for emptied in (False, True):
             arrivals.begin_read()
-            assert arrivals.end_read(emptied) == arrival.Arrival(began_at, ages.now - AGE_NS)
+            assert arrivals.end_read(emptied) == arrival_times.ArrivalTimes(began_at, ages.now - AGE_NS)
         ages.after(1.0)
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True) == arrival.Arrival(ages.now - AGE_NS, ages.now - AGE_NS)
+        assert arrivals.end_read(emptied=True) == arrival_times.ArrivalTimes(
+            ages.now - AGE_NS, ages.now - AGE_NS
+        )
 
 
 def test_the_kernel_tells_how_long_data_lay_in_the_backlog_and_unread() -> None:
@@ -379,7 +381,7 @@
         accepted, _ = listener.accept()
         with client, accepted:
             for _ in range(2):
-                age = arrival.last_data_age_ns(accepted)
+                age = arrival_times.last_data_age_ns(accepted)
                 assert age is not None
                 assert age >= (HELD_UP_S - 0.02) * clock.NS_PER_S  # its clock is coarse
                 accepted.recv(10)
@@ -395,5 +397,5 @@
 def test_an_age_that_the_system_does_not_tell_is_unknown() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs, Short() as short:
-        assert arrival.last_data_age_ns(ours) is None
-        assert arrival.last_data_age_ns(short) is None
+        assert arrival_times.last_data_age_ns(ours) is None
+        assert arrival_times.last_data_age_ns(short) is None
