--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -19,13 +19,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from gingerworks import interface as io
-from gingerworks.policy.constants import COUNT_KEEP_NS, MS, SECOND
+from gingerworks import interface
+from gingerworks.policy.constants import COUNT_TTL_NS, MS, SECOND
 
 # Counts are named by the number of their epoch within a lap.  A lap is no divisor of an hour, so that a clock
 # which is off by whole hours is found out instead of agreeing by chance.
 EPOCHS_IN_LAP = 7
-LAP_NS = EPOCHS_IN_LAP * COUNT_KEEP_NS
+LAP_NS = EPOCHS_IN_LAP * COUNT_TTL_NS
 
 BEACON_LIFE_NS = 500 * MS
 STATED_STEP_NS = 100 * MS  # of the time that a beacon states: totals are exact to seven digits
@@ -35,7 +35,7 @@
 SLEW_MOST_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
 READ_LIFE_NS = MS  # of a count that is only read: it must not shorten the life of what is added after that
 LOCK_LIFE_NS = SECOND  # long enough for whoever sets the time to make that known
-PRESENCE_TURN_NS = COUNT_KEEP_NS // 2  # one presence count is renewed for so long, then the other one
+PRESENCE_TURN_NS = COUNT_TTL_NS // 2  # one presence count is renewed for so long, then the other one
 BEACONS_TO_RENEWAL = 4
 UNMET_MOST = 2  # beacons in a row that meet no other one: then a gateway takes itself for alone
 TAKEOVER_READS = 10  # in a row without a beacon, at the least, before the time is set anew
@@ -163,7 +163,7 @@
     def _is_starting(self, now: int) -> bool:
         return not self._attempted and now < self.starts_until
 
-    def call(self, now: int) -> io.Count | None:
+    def call(self, now: int) -> interface.Count | None:
         """The call that is due, if any."""
         if self._call is not None or self.due_at is None or now < self.due_at:
             return None
@@ -179,18 +179,18 @@
             return None
         count, amount, keep_ns = self._parameters(step, now)
         self._call, self.due_at = PendingCall(step, count, amount, now), None
-        return io.Count(count, amount, keep_ns)
+        return interface.Count(count, amount, keep_ns)
 
     def owns(self, count: int) -> bool:
         """Whether an answer for this count is for ``answered``."""
         return self._call is not None and self._call.count == count
 
-    def answered(self, answer: io.Counted, now: int) -> None:
+    def answered(self, answer: interface.Counted, now: int) -> None:
         """Take in the answer to the call that is out, and plan the next one."""
         call, self._call = self._call, None
         if call is None:
             return
-        if answer.status is not io.Status.DELIVERED:
+        if answer.status is not interface.Status.DELIVERED:
             self._missed(call, answer.status, now)
             return
         if self._may_set_at is None:
@@ -229,11 +229,11 @@
                 return LOCK_NAME, 1.0, LOCK_LIFE_NS
             case Step.RENEW:
                 turn = self.time(now) // PRESENCE_TURN_NS
-                return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_KEEP_NS
+                return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_TTL_NS
             case Step.CHECK_FIRST | Step.CHECK_SECOND:
                 return PRESENCE_NAMES[step is Step.CHECK_SECOND], 0.0, READ_LIFE_NS
 
-    def _missed(self, call: PendingCall, status: io.Status, now: int) -> None:
+    def _missed(self, call: PendingCall, status: interface.Status, now: int) -> None:
         """No answer: the outcome is not known, and what was not read is no sign that nobody is there."""
         self._misses += 1
         if call.step is Step.CLAIM and not status.never_ran:
@@ -264,7 +264,7 @@
         if others == 0:
             self._met_nobody(call, now)
         elif not 1 <= beacons <= BEACONS_MOST:
-            self._missed(call, io.Status.ERROR, now)  # no total that beacons make
+            self._missed(call, interface.Status.ERROR, now)  # no total that beacons make
         else:
             self._absent_since = None
             stated_ns = (others % BEACON) * STATED_STEP_NS // beacons
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -4,8 +4,8 @@
 
 import math
 
-from gingerworks import interface as io
-from gingerworks.policy.constants import SECOND, STRAIN_AIM
+from gingerworks import interface
+from gingerworks.policy.constants import SECOND, TARGET_AIM_FRACTIONS
 
 LOAD_MEMORY_NS = 3 * SECOND  # memory of the load: several answers at a gateway of few requests
 PRIOR_ANSWERS = 40.0  # unpressed ones taken for granted: as many vary by a tenth if work varies by its mean
@@ -22,11 +22,11 @@
     requests, pauses.  It does harm where slow answers are not a matter of load.
     """
 
-    def __init__(self, settings: io.Settings, now: int) -> None:
+    def __init__(self, settings: interface.Settings, now: int) -> None:
         self.out = 0
         self.spent = self.allowed = 0.0
         # Guards against a gateway of few requests, as each is in a large fleet, taking chance for overload.
-        self.prior = PRIOR_ANSWERS * STRAIN_AIM[0] * min(kind.aim_ns for kind in settings.classes)
+        self.prior = PRIOR_ANSWERS * TARGET_AIM_FRACTIONS[0] * min(kind.aim_ns for kind in settings.classes)
         self.at = now
         self.offered = {(c.name, p.name): [0.0, 0.0] for c in settings.classes for p in settings.plans}
 
@@ -44,7 +44,9 @@
         self.shift(0, now)
         return (self.spent + self.prior) / (self.allowed + self.prior)
 
-    def passes(self, kind: io.RequestClass, plan: io.Plan, units: float, work: float, now: int) -> float:
+    def passes(
+        self, kind: interface.RequestClass, plan: interface.Plan, units: float, work: float, now: int
+    ) -> float:
         """The part of such requests that may pass: the least worth for its work is refused first."""
         for row in self.offered.values():
             row[0] *= VALUE_MEMORY
