--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -46,7 +46,7 @@
         index = 0
         try:
             known = change_from(self._config.known)
-            self.runtime.listed(Change(known.index, True, known.endpoints), cached=True)
+            self.runtime.update_servers(Change(known.index, True, known.endpoints), cached=True)
             index = known.index
         except ValueError as fault:
             log.warning("known: %s; the list comes from discovery alone", fault)
@@ -69,7 +69,7 @@
         if self._watch is not None:
             self._watch.cancel()  # closes its connection as it ends
         gateways = self._config.settings.gateways
-        watch = Watch(discovery, index, self._config.seed, self.runtime.listed, gateways)
+        watch = Watch(discovery, index, self._config.seed, self.runtime.update_servers, gateways)
         self._watch = self._loop.create_task(watch.run())
         return watch
 
@@ -88,7 +88,7 @@
         if config.discovery != before.discovery:
             self._follow(config.discovery, 0)  # its versions are its own: the whole list is asked for
         if config.counter != before.counter:
-            self.runtime.count_at(config.counter)
+            self.runtime.use_counter(config.counter)
 
     async def ended(self) -> None:
         """Wait for the graceful end that ``frontend.end`` begins, then let go of all."""
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -207,11 +207,11 @@
                 raise Refusal(405, "GET only")
             return None
         request = self._checks.request(message)
-        return self.runtime.taken(client, request, message.head(), message.body, message.arrived_at)
+        return self.runtime.submit(client, request, message.head(), message.body, message.arrived_at)
 
     def cancelled(self, number: int) -> None:
         """The client of a request that is not answered yet has gone."""
-        self.runtime.cancelled(number)
+        self.runtime.cancel_request(number)
 
     def store(self, size: int) -> bool:
         """Count bytes of bodies that are held; false where that would be too many."""
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -83,7 +83,7 @@
         peers = [await answering(OK) for _ in range(6)]
         for index, peer in enumerate(peers, 1):
             change = backend_list(index, peer.address)
-            made.runtime.listed(change)
+            made.runtime.update_servers(change)
             clients = [await Client.to(made) for _ in range(4)]
             assert [(await client.send(ask()))[0] for client in clients] == [200] * 4
             for client in clients:
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -223,7 +223,7 @@
         made.frontend.end()  # before it is read
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
-        assert made.runtime._serial == 1
+        assert made.runtime._last_request_id == 1
 
     run(scenario())
 
@@ -242,7 +242,7 @@
         assert [status for status, _ in heads] == [200, 404, 200, 404, 200]
         assert [b"Connection: close" in head for _, head in heads] == [False] * 4 + [True]
         assert await client.reader.read() == b""
-        assert made.runtime._serial == 3
+        assert made.runtime._last_request_id == 3
 
     run(scenario())
 
@@ -499,7 +499,7 @@
         made.runtime._post = lambda event: rung.append((event.token, clock.now()))  # type: ignore
         due = [clock.now() + after for after in range(100_000, 60_000_000, 1_370_000)]
         for number, at in enumerate(due):
-            made.runtime._alarm(at, number)
+            made.runtime._fire_timer(at, number)
         time.sleep(0.005)
         await until(lambda: len(rung) == len(due))
         assert all(at >= due[number] for number, at in rung)
@@ -647,7 +647,7 @@
         await until(lambda: len(server.requests) == 1)
         (connection,) = made.backends._open
         made.backends.end_attempt(connection, interface.Status.DROPPED)
-        made.runtime.cancelled(1)
+        made.runtime.cancel_request(1)
         await until(lambda: not made.runtime._in_flight)
         await until(lambda: not made.runtime._policy.in_flight)
 
--- a/tests/test_gateway_crowd.py
+++ b/tests/test_gateway_crowd.py
@@ -54,7 +54,7 @@
 
 def rests_after(made: Gateway, requests: int) -> bool:
     """Whether the only client has had so many answers."""
-    return made.runtime._serial == requests and len(made.frontend.clients.idle) == 1
+    return made.runtime._last_request_id == requests and len(made.frontend.clients.idle) == 1
 
 
 async def all_but_one(made: Gateway, asked: bool) -> list[Client]:
@@ -313,7 +313,7 @@
         server = await answering(OK)
         made = gateway(server.address, limits=ROOM_FOR_EIGHT)
         clients = await all_but_one(made, asked)
-        before = made.runtime._serial
+        before = made.runtime._last_request_id
         made.frontend.clients.make_room()
         for client in clients:
             sock: socket.socket = client.writer.get_extra_info("socket")
@@ -321,7 +321,7 @@
         for client in clients:
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.answer()
-        assert made.runtime._serial == before
+        assert made.runtime._last_request_id == before
         assert (await (await Client.to(made)).send(ask()))[0] == 200
 
     run(scenario())
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -164,16 +164,16 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        taken: Any = made.runtime.taken
+        taken: Any = made.runtime.submit
 
         def leaves_at_once(*told: Any) -> int:
             number: int = taken(*told)
-            made.runtime.cancelled(number)  # the module hears of both in one turn
+            made.runtime.cancel_request(number)  # the module hears of both in one turn
             return number
 
-        monkeypatch.setattr(made.runtime, "taken", leaves_at_once)
+        monkeypatch.setattr(made.runtime, "submit", leaves_at_once)
         client.writer.write(ask("post"))
-        await until(lambda: made.runtime._serial == 1 and not made.runtime._in_flight)
+        await until(lambda: made.runtime._last_request_id == 1 and not made.runtime._in_flight)
         leave(client)
         await forgotten(made)
         assert server.requests == []
@@ -248,7 +248,7 @@
         leave(client)
         await asyncio.sleep(0.01)
         made.frontend._resume()
-        await until(lambda: made.runtime._serial == 1 or leave is reset)
+        await until(lambda: made.runtime._last_request_id == 1 or leave is reset)
         await forgotten(made)
         assert server.connections == 0
         assert not made.backends._open
@@ -404,14 +404,14 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = Raw(made, ask("post"))
-        assign = made.runtime._perform[interface.Assign]
+        assign = made.runtime._action_handlers[interface.Assign]
 
         def leaves_before(action: interface.Assign) -> None:
             leave(client)  # the loop has no turn between this and the attempt
             assign(action)
 
-        made.runtime._perform[interface.Assign] = leaves_before
-        await until(lambda: made.runtime._serial == 1)
+        made.runtime._action_handlers[interface.Assign] = leaves_before
+        await until(lambda: made.runtime._last_request_id == 1)
         await forgotten(made)
         assert server.connections == 0
 
@@ -426,15 +426,15 @@
         server = await answering(NOT_RUN)
         made = gateway(server.address, server.address)
         clients = [Raw(made, ask("post"))]
-        ended: Any = made.runtime._ended
+        ended: Any = made.runtime._attempt_ended
 
         def leaves_before(*told: Any) -> None:
             if clients:
                 leave(clients.pop())
             ended(*told)
 
-        monkeypatch.setattr(made.runtime, "_ended", leaves_before)
-        await until(lambda: made.runtime._serial == 1)
+        monkeypatch.setattr(made.runtime, "_attempt_ended", leaves_before)
+        await until(lambda: made.runtime._last_request_id == 1)
         await forgotten(made)
         assert len(server.requests) == 1
 
@@ -463,7 +463,7 @@
         for client in taken:
             assert (await client.answer())[0] == 200
             client.writer.close()
-        await until(lambda: made.runtime._serial == len(taken) + 1 or leave is Raw.reset)
+        await until(lambda: made.runtime._last_request_id == len(taken) + 1 or leave is Raw.reset)
         await forgotten(made)
         assert len(server.requests) == len(taken)
 
@@ -472,7 +472,7 @@
 
 def before_assign(made: Gateway, which: int, what: Callable[[], None]) -> list[interface.Assign]:
     """Do something as one of the attempts is assigned: the loop has no turn between this and the attempt."""
-    assign, seen = made.runtime._perform[interface.Assign], list[interface.Assign]()
+    assign, seen = made.runtime._action_handlers[interface.Assign], list[interface.Assign]()
 
     def assigned(action: interface.Assign) -> None:
         seen.append(action)
@@ -480,7 +480,7 @@
             what()
         assign(action)
 
-    made.runtime._perform[interface.Assign] = assigned
+    made.runtime._action_handlers[interface.Assign] = assigned
     return seen
 
 
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -217,7 +217,7 @@
         writing.cancel()
         assert now_s() < termination.kill_s
         # What was read has its answer: at most what crossed the close on the wire has none.
-        assert answered == made.runtime._serial
+        assert answered == made.runtime._last_request_id
         await termination.ended()
 
     play(scenario())
@@ -409,7 +409,7 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(made.runtime._policy, "handle", fail)
-            made.runtime._turn()
+            made.runtime._handle_events()
         await termination.moment(0.75)
         late.send(ask("post", left="1.000"))
         assert (await late.answer())[0] == 502
@@ -426,7 +426,7 @@
         termination = Termination(made, 1.0)
         await termination.moment(0.2)
         late = await Sender.to(made)
-        made.runtime._start_anew()
+        made.runtime._restart_policy()
         await termination.moment(0.75)
         late.send(ask("post", left="1.000"))
         assert (await late.answer())[0] == 429
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -200,7 +200,7 @@
         assert peer.connections == 1
         made = gateway()
         for change in told:
-            made.runtime.listed(change)
+            made.runtime.update_servers(change)
         assert {one.name for one in made.backends.servers()} == {one["name"] for one in new}
         assert (await (await Client.to(made)).send(ask()))[0] == 200
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -1093,7 +1093,7 @@
         faults.failing([])
         assert faults.raised[call]
         made.runtime._policy.servers.backends.clear()  # what was learned of the servers, rightly or not
-        made.runtime.listed(change_from(listing(entry("s9", one.address))))
+        made.runtime.update_servers(change_from(listing(entry("s9", one.address))))
         assert (await (await Client.to(made)).send(ask("post")))[0] == 200
 
     run(scenario())
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -137,7 +137,7 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        turn: Any = made.runtime._turn
+        turn: Any = made.runtime._handle_events
 
         def late() -> None:
             if made.runtime._in_flight:
@@ -145,7 +145,7 @@
             turn()
 
         await asyncio.sleep(0)
-        monkeypatch.setattr(made.runtime, "_turn", late)
+        monkeypatch.setattr(made.runtime, "_handle_events", late)
         status, _, _ = await client.send(ask("post"))
         assert status == 200
         assert no_more_than(LEFT_S - HELD_UP_S, server.requests[0])
@@ -209,10 +209,10 @@
     """Holds the process up between the decision for one of the attempts and its begin."""
 
     def __init__(self, made: Gateway, which: int, hold_up: Callable[[], None]) -> None:
-        self._assign = made.runtime._perform[interface.Assign]
+        self._assign = made.runtime._action_handlers[interface.Assign]
         self._which, self._hold_up = which, hold_up
         self.seen = 0
-        made.runtime._perform[interface.Assign] = self
+        made.runtime._action_handlers[interface.Assign] = self
 
     def __call__(self, action: interface.Assign) -> None:
         self.seen += 1
