--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -15,8 +15,8 @@
 from gingerworks.policy.clock_sync import EPOCHS_IN_LAP, ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
-from gingerworks.policy.guesses import BUSY, Room, Tally, room_of
 from gingerworks.policy.in_flight import InFlight
+from gingerworks.policy.speculative_admission import BUSY_DEMAND, Headroom, PassRate, headroom_of
 
 CREDIT = 0.25  # of the burst: unused refill beyond a full store that is let stand in the shared count
 EXCESS = 0.5  # of the burst: use beyond an empty store that is let stand in the shared count
@@ -84,7 +84,7 @@
         self.repair_seen = 0.0  # what the count lacked as the repair was found due
         self.repaired_at = -math.inf
         self.excess_since: int | None = None
-        self.readings = Tally()
+        self.pass_rate = PassRate()
         self.sent_use = 0.0  # what the store lacks at the least by what was sent on from here
         self.sent_at = self.demand_at = now
         self.demand = 0.0
@@ -138,13 +138,13 @@
         fades = self.plan.rate * (now - self.demand_at) / SECOND / self.gap.cap
         before = self.demand * math.exp(-fades)
         self.demand, self.demand_at = before + units, now
-        return before >= BUSY * self.gap.cap
+        return before >= BUSY_DEMAND * self.gap.cap
 
-    def room(self, units: float, busy: bool) -> Room:
+    def room(self, units: float, busy: bool) -> Headroom:
         """What is known of the room for a request that the slice does not cover."""
         if self.used < 0:
-            return Room.UNREAD_BUSY if busy else Room.UNREAD
-        return room_of((self.gap.level - units) / self.gap.cap)
+            return Headroom.UNREAD_BUSY if busy else Headroom.UNREAD
+        return headroom_of((self.gap.level - units) / self.gap.cap)
 
     def give_back(self, units: float) -> None:
         """Undo what a reading booked for a request that was then refused for another reason."""
@@ -269,7 +269,7 @@
 
     @staticmethod
     def _added_first(inflight: InFlight[Customer]) -> float:
-        likely = inflight.doubt is None or inflight.doubt.chance >= LIKELY
+        likely = inflight.uncertainty is None or inflight.uncertainty.chance >= LIKELY
         return inflight.request.units if likely else 0.0
 
     @property
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -11,11 +11,11 @@
 from gingerworks.policy.constants import OVERDUE_MEANS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.customer import Customer
 from gingerworks.policy.gap_counter import GapCounter
-from gingerworks.policy.guesses import Room
 from gingerworks.policy.in_flight import Attempt, InFlight
 from gingerworks.policy.load_shedding import LoadShedder
 from gingerworks.policy.quotas import Quotas
 from gingerworks.policy.servers import Backend, Servers
+from gingerworks.policy.speculative_admission import Headroom
 
 IN_TIME_ASKING = 0.5  # of doubtful requests: the counter keeps up with calls while so many may ask
 RETRY_SHARE = 0.1  # further attempts to first ones, in the long run: a retry storm stays small
@@ -153,7 +153,7 @@
             return self.decline(inflight, customer.advice(units))
         if inside is not None and not customer.unheard(units):
             # Beyond this gateway's part of the ceiling only the shared count can tell, late or not.
-            if not inside or not self.quotas.asks(inflight, Room.BEYOND_PART, self.now):
+            if not inside or not self.quotas.asks(inflight, Headroom.BEYOND_PART, self.now):
                 return self.decline(inflight, 0)
             inside = None
         if self._sheds(inflight):
--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -5,8 +5,8 @@
 from typing import Generic, TypeVar
 
 from gingerworks import interface
-from gingerworks.policy.guesses import Doubt
 from gingerworks.policy.servers import Backend
+from gingerworks.policy.speculative_admission import UncertainRequest
 
 # The type of a request's customer.  Customers hold requests, so their module imports this one.
 CustomerT = TypeVar("CustomerT")
@@ -35,7 +35,7 @@
         self.deadline = now + request.ttl_ns
         self.attempts: list[Attempt] = []
         self.closed = self.streaming = False
-        self.doubt: Doubt | None = None  # what was known of its quota, if that was in doubt
+        self.uncertainty: UncertainRequest | None = None  # what was known of its quota, if that was in doubt
 
     def out(self) -> int:
         """Attempts without an outcome."""
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -13,8 +13,8 @@
 from gingerworks.policy.clock_sync import ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, REPORT_PERIOD_NS, SECOND
 from gingerworks.policy.customer import Call, Customer
-from gingerworks.policy.guesses import Doubt, Guesses, Room
 from gingerworks.policy.in_flight import InFlight
+from gingerworks.policy.speculative_admission import Headroom, SpeculativeAdmission, UncertainRequest
 
 LEAST_ASKING = 0.1  # of doubtful requests: so many still ask a counter that does not answer
 CUSTOMERS_MOST = 20_000  # far more than ask within a few sweeps
@@ -36,7 +36,7 @@
         self.plans = {plan.name: plan for plan in settings.plans}
         self.customers: dict[tuple[str, str], Customer] = {}
         self.calls: dict[int, Call] = {}
-        self.guesses = Guesses(rng)
+        self.speculation = SpeculativeAdmission(rng)
         self.asking = self.keeps_up = 1.0
         self.answered_at = start
 
@@ -63,27 +63,27 @@
             return None
         return self.guess(inflight, now)
 
-    def asks(self, inflight: InFlight[Customer], room: Room, now: int) -> bool:
+    def asks(self, inflight: InFlight[Customer], room: Headroom, now: int) -> bool:
         """Whether to take a reading for a doubtful request: the dearest first while the counter is late."""
         if not self.settings.has_counter:
             return False
-        inflight.doubt = doubt = self.doubt(inflight, room)
-        return not self.clock.suspends_counts(now) and self.guesses.asks(doubt, self.asking)
+        inflight.uncertainty = doubt = self.assess(inflight, room)
+        return not self.clock.suspends_counts(now) and self.speculation.should_read(doubt, self.asking)
 
-    def doubt(self, inflight: InFlight[Customer], room: Room) -> Doubt:
+    def assess(self, inflight: InFlight[Customer], room: Headroom) -> UncertainRequest:
         """What is known of a request that the slice, or the part of a ceiling, does not cover."""
         customer, is_retry = inflight.customer, inflight.request.is_retry
         plan = customer.plan
-        chance = self.guesses.chance(plan.name, is_retry, room, customer.readings)
-        return Doubt(plan.name, is_retry, room, chance, self.worth(inflight), plan.overrun_cost)
+        chance = self.speculation.chance(plan.name, is_retry, room, customer.pass_rate)
+        return UncertainRequest(plan.name, is_retry, room, chance, self.worth(inflight), plan.overrun_cost)
 
     def guess(self, inflight: InFlight[Customer], now: int) -> bool:
         """Whether to let in a doubtful request unasked; by the even split while the counter is away."""
-        customer, units, doubt = inflight.customer, inflight.request.units, inflight.doubt
+        customer, units, doubt = inflight.customer, inflight.request.units, inflight.uncertainty
         silent = now - self.answered_at > SILENT_NS and not self.clock.suspends_counts(now)
         if doubt is None or silent:
             return customer.guess(units)
-        return (doubt.gains and customer.floor_covers(units)) or self.guesses.lets_in(doubt)
+        return (doubt.is_worthwhile and customer.floor_covers(units)) or self.speculation.admits(doubt)
 
     def worth(self, inflight: InFlight[Customer]) -> float:
         """What serving a request inside its quota is worth."""
@@ -92,12 +92,12 @@
     def sent(self, inflight: InFlight[Customer], now: int) -> None:
         """Note that a request was sent on for the first time."""
         inflight.customer.sent(inflight.request.units, now)
-        self.guesses.sent(self.worth(inflight))
+        self.speculation.record_sent(self.worth(inflight))
 
     def learn(self, inflight: InFlight[Customer], passed: bool) -> None:
         """Note whether a reading let a doubtful request pass."""
-        if inflight.doubt is not None:
-            self.guesses.learn(inflight.doubt, inflight.customer.readings, passed)
+        if inflight.uncertainty is not None:
+            self.speculation.learn(inflight.uncertainty, inflight.customer.pass_rate, passed)
 
     def is_due(self, customer: Customer) -> bool:
         """Whether use not yet told has grown so large that others should hear of it now."""
--- a/gingerworks/policy/guesses.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -18,15 +18,15 @@
 GATEWAY_MEMORY = 0.98  # of all readings of a kind: about the last fifty count
 PRIOR_READINGS = 2.0  # as many readings of a kind weigh as much as all that is known of a wider kind
 START_CHANCE = 0.75  # before any reading: stores start full
-BUSY = 0.25  # of the burst: units asked for lately from which a customer without a reading counts as busy
-SCANT_ROOM = 0.25  # of the burst
-AMPLE_ROOM = 0.6  # of the burst
-OVERRUN_SHARE = 0.02  # of the worth let in: what guesses are expected to cost by units beyond quotas
-OVERRUN_BURST = 5.0  # mean requests' worth that the cost of guesses may run ahead
-MEAN_GAIN = 0.02  # of running means: about the last fifty requests count
+BUSY_DEMAND = 0.25  # of the burst: recent demand above which a customer without a reading counts as busy
+SCANT_HEADROOM = 0.25  # of the burst
+AMPLE_HEADROOM = 0.6  # of the burst
+OVERRUN_BUDGET_SHARE = 0.02  # of the worth let in: what guesses are expected to cost by units beyond quotas
+OVERRUN_BUDGET_REQUESTS = 5.0  # mean requests' worth that the cost of guesses may run ahead
+MIN_MEAN_GAIN = 0.02  # of running means: about the last fifty requests count
 
 
-class Room(Enum):
+class Headroom(Enum):
     """What a gateway knows of the room for a request in its customer's store."""
 
     UNREAD = "no reading has been taken"
@@ -38,37 +38,37 @@
     BEYOND_PART = "enough in the quota, but not in this gateway's part of the ceiling"
 
 
-def room_of(left: float) -> Room:
+def headroom_of(left: float) -> Headroom:
     """The room where this part of the burst is left after the request."""
     if left < 0:
-        return Room.NONE
-    if left < SCANT_ROOM:
-        return Room.SCANT
-    return Room.SOME if left < AMPLE_ROOM else Room.AMPLE
+        return Headroom.NONE
+    if left < SCANT_HEADROOM:
+        return Headroom.SCANT
+    return Headroom.SOME if left < AMPLE_HEADROOM else Headroom.AMPLE
 
 
-class Tally:
+class PassRate:
     """How many of the readings of a kind let the request pass; older ones fade."""
 
     def __init__(self) -> None:
-        self.asked = 0.0
+        self.readings = 0.0
         self.passed = 0.0
 
-    def share(self, prior: float) -> float:
+    def estimate(self, prior: float) -> float:
         """The part that passed, where ``prior`` is what is known from elsewhere."""
-        return (self.passed + PRIOR_READINGS * prior) / (self.asked + PRIOR_READINGS)
+        return (self.passed + PRIOR_READINGS * prior) / (self.readings + PRIOR_READINGS)
 
     def add(self, passed: bool, memory: float) -> None:
         """Count one reading; ``memory`` is what remains of the earlier ones."""
-        self.asked = self.asked * memory + 1.0
+        self.readings = self.readings * memory + 1.0
         self.passed = self.passed * memory + passed
 
 
-UNTAUGHT = Tally()
+NO_READINGS = PassRate()
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
+class UncertainRequest:
     """A request that the slice does not cover, and what is known of it.
 
     ``chance`` is that of a reading to let it pass.  ``overrun_cost`` is the cost, for each worth, of letting
@@ -77,75 +77,77 @@
 
     plan: str
     is_retry: bool
-    room: Room
+    headroom: Headroom
     chance: float
     worth: float
     overrun_cost: float
 
     @property
-    def guess_cost(self) -> float:
+    def expected_cost(self) -> float:
         """Expected cost of letting it in unasked."""
         return (1.0 - self.chance) * self.overrun_cost * self.worth
 
     @property
-    def gains(self) -> bool:
+    def is_worthwhile(self) -> bool:
         """Whether letting it in unasked is expected to gain more than it costs."""
-        return self.chance * self.worth >= self.guess_cost
+        return self.chance * self.worth >= self.expected_cost
 
     @property
-    def loss(self) -> float:
+    def loss_without_reading(self) -> float:
         """Expected loss if it is not asked about, whichever way is then chosen."""
         refused = self.chance * self.worth
-        return refused if self.room is Room.BEYOND_PART else min(refused, self.guess_cost)
+        return refused if self.headroom is Headroom.BEYOND_PART else min(refused, self.expected_cost)
 
 
-class Guesses:
+class SpeculativeAdmission:
     """Learns from readings, and decides on the doubtful requests of one gateway."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._tallies: dict[tuple[bool, Room], Tally] = {}
-        self._tallies_of_plans: dict[tuple[str, bool, Room], Tally] = {}
+        self._pass_rates: dict[tuple[bool, Headroom], PassRate] = {}
+        self._plan_pass_rates: dict[tuple[str, bool, Headroom], PassRate] = {}
         self._mean_loss = Mean()
         self._mean_worth = Mean()
         # Empty at first: what a former life of this gateway let in is not known.
         self._budget = GapCounter(EPSILON, 0.0, 0.0)
 
-    def chance(self, plan: str, is_retry: bool, room: Room, of_customer: Tally) -> float:
+    def chance(self, plan: str, is_retry: bool, headroom: Headroom, customer_rate: PassRate) -> float:
         """The chance that a reading lets such a request of a customer with these readings pass."""
-        of_all = self._tallies.get((is_retry, room), UNTAUGHT)
-        of_plan = self._tallies_of_plans.get((plan, is_retry, room), UNTAUGHT)
-        return of_customer.share(of_plan.share(of_all.share(START_CHANCE)))
+        overall_rate = self._pass_rates.get((is_retry, headroom), NO_READINGS)
+        plan_rate = self._plan_pass_rates.get((plan, is_retry, headroom), NO_READINGS)
+        return customer_rate.estimate(plan_rate.estimate(overall_rate.estimate(START_CHANCE)))
 
-    def learn(self, doubt: Doubt, of_customer: Tally, passed: bool) -> None:
+    def learn(self, uncertain: UncertainRequest, customer_rate: PassRate, passed: bool) -> None:
         """Take in a reading for a doubtful request."""
-        of_customer.add(passed, CUSTOMER_MEMORY)
-        kind = doubt.is_retry, doubt.room
-        self._tallies.setdefault(kind, Tally()).add(passed, GATEWAY_MEMORY)
-        self._tallies_of_plans.setdefault((doubt.plan, *kind), Tally()).add(passed, GATEWAY_MEMORY)
-
-    def asks(self, doubt: Doubt, asking: float) -> bool:
-        """Whether to spend a call: for the dearest first; ``asking`` 1 asks about all."""
-        self._mean_loss.add(doubt.loss)
-        if asking >= 1.0:
+        customer_rate.add(passed, CUSTOMER_MEMORY)
+        kind = uncertain.is_retry, uncertain.headroom
+        self._pass_rates.setdefault(kind, PassRate()).add(passed, GATEWAY_MEMORY)
+        self._plan_pass_rates.setdefault((uncertain.plan, *kind), PassRate()).add(passed, GATEWAY_MEMORY)
+
+    def should_read(self, uncertain: UncertainRequest, read_fraction: float) -> bool:
+        """Whether to spend a call: for the dearest first; ``read_fraction`` 1 asks about all."""
+        self._mean_loss.add(uncertain.loss_without_reading)
+        if read_fraction >= 1.0:
             return True
-        # As often as ``asking`` says while that is little, and ever nearer to all as the counter keeps up.
-        often = asking / (1.0 - asking**2)
-        return self._rng.random() < often * doubt.loss / max(EPSILON, self._mean_loss.value)
+        # Reads about that fraction of the requests while it is small, and ever nearer to all as it nears 1.
+        odds = read_fraction / (1.0 - read_fraction**2)
+        return self._rng.random() < odds * uncertain.loss_without_reading / max(
+            EPSILON, self._mean_loss.value
+        )
 
-    def lets_in(self, doubt: Doubt) -> bool:
+    def admits(self, uncertain: UncertainRequest) -> bool:
         """Whether to let in a request unasked: its gain is worth it, the more so the less budget is left."""
-        cost, budget = doubt.guess_cost, self._budget
-        if not budget.covers(cost) or doubt.chance * doubt.worth * budget.level < cost * budget.cap:
+        cost, budget = uncertain.expected_cost, self._budget
+        if not budget.covers(cost) or uncertain.chance * uncertain.worth * budget.level < cost * budget.cap:
             return False
         budget.adjust(-cost)
         return True
 
-    def sent(self, worth: float) -> None:
+    def record_sent(self, worth: float) -> None:
         """A request was sent on: what guesses may cost grows with it."""
         self._mean_worth.add(worth)
-        self._budget.resize(max(EPSILON, OVERRUN_BURST * self._mean_worth.value))
-        self._budget.refill(OVERRUN_SHARE * worth)
+        self._budget.resize(max(EPSILON, OVERRUN_BUDGET_REQUESTS * self._mean_worth.value))
+        self._budget.refill(OVERRUN_BUDGET_SHARE * worth)
 
 
 class Mean:
@@ -158,4 +160,4 @@
     def add(self, value: float) -> None:
         """Take in one value."""
         self._count += 1
-        self.value += max(MEAN_GAIN, 1.0 / self._count) * (value - self.value)
+        self.value += max(MIN_MEAN_GAIN, 1.0 / self._count) * (value - self.value)
