--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -11,10 +11,10 @@
 
 import httptools
 
-from gingerworks.gateway import clock, numerals
-from gingerworks.gateway.arrival import Arrivals
+from gingerworks.gateway import clock, number_parsing
+from gingerworks.gateway.arrival_times import ArrivalTracker
 from gingerworks.gateway.backend import Answer
-from gingerworks.gateway.client_owner import ClientOwner
+from gingerworks.gateway.connection_owner import ConnectionOwner
 from gingerworks.gateway.requests import BODY_BYTES, HEAD_BYTES, Message, Refusal
 from gingerworks.gateway.system_errors import TRY_AGAIN
 
@@ -44,7 +44,7 @@
 class ClientConnection(asyncio.BufferedProtocol):
     """One connection of a client; one request at a time is held."""
 
-    def __init__(self, owner: ClientOwner[ClientConnection], sock: socket.socket) -> None:
+    def __init__(self, owner: ConnectionOwner[ClientConnection], sock: socket.socket) -> None:
         self.owner = owner
         self.socket = sock
         self.transport: asyncio.Transport | None = None
@@ -53,7 +53,7 @@
         self.ready: deque[Message | Refusal] = deque()
         self.number: int | None = None  # of the request that is held
         self.since = clock.now()  # what is waited for now
-        self.arrivals = Arrivals(sock, owner.backlog_empty_at)
+        self.arrivals = ArrivalTracker(sock, owner.backlog_empty_at)
         self.asked = False  # a whole request has come
         self.leaving = False  # the last answer was written: nothing further is read or asked
         self.deaf = False  # nothing further is read
@@ -101,7 +101,7 @@
         fresh, self.begun = not self.reading, 0
         emptied = nbytes < len(self.owner.buffer)
         arrival = self.arrivals.end_read(emptied)
-        self.arrived_at, waiting = arrival.earliest, len(self.ready)
+        self.arrived_at, waiting = arrival.earliest_ns, len(self.ready)
         try:
             self.parser.feed_data(self.owner.buffer[:nbytes])
         except httptools.HttpParserCallbackError as fault:
@@ -114,7 +114,7 @@
             self.deaf = True
             self.message.keep_alive = False
         if emptied and not self.reading and len(self.ready) > waiting and self.ready[-1] is self.message:
-            self.message.arrived_at = arrival.latest  # its last byte is the last that has come
+            self.message.arrived_at = arrival.latest_ns  # its last byte is the last that has come
         # Guards against a head or a frame without end: the parser keeps it and tells only of whole fields.
         if self.reading and self.begun == fresh:
             self.unfinished += nbytes
@@ -166,7 +166,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser's callback."""
         self.message.grow(len(name) + len(value) + 4)
-        self.message.headers.append((name, value.rstrip(numerals.BLANKS)))
+        self.message.headers.append((name, value.rstrip(number_parsing.OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
         """Parser's callback."""
@@ -231,16 +231,16 @@
         if self.paused and not self.deaf and len(self.ready) <= PIPELINED and self.transport is not None:
             self._resume()
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Pass on a server's answer."""
         self._final(200, answer.body, b"".join(b"%b: %b\r\n" % header for header in answer.headers))
 
-    def refused(self, retry_after_ns: int, sent_on: bool) -> None:
+    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
         """Refuse: 503 where the servers could not, 429 where nothing was sent on."""
         head = b"Retry-After: %.3f\r\n" % (retry_after_ns / clock.NS_PER_S)
         self._final(503 if sent_on else 429, b"refused", head)
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Fail."""
         self._final(502, b"failed")
 
@@ -300,9 +300,9 @@
         Guards against sending on what nobody waits for: a connection that is not read tells of no end.
         """
         ahead = self.paused and bool(self.ready) and isinstance(self.ready[0], Message)
-        return (self.number is not None or ahead) and self.gone()
+        return (self.number is not None or ahead) and self.has_disconnected()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its connection, or its side of it, be it read or not."""
         if self.transport is None or self.transport.is_closing():
             return True
@@ -313,7 +313,7 @@
         except OSError:
             return False  # not known for now: whoever has not gone is owed an answer
 
-    def close_may_be_hidden(self) -> bool:
+    def disconnect_may_be_hidden(self) -> bool:
         """Whether the client may have closed its connection, unseen for what it sent ahead."""
         if not self.paused:
             return False
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -29,19 +29,19 @@
 class Client(Protocol):
     """Whoever waits for the answer to a request; told exactly once, unless it left first."""
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Pass on a server's answer."""
 
-    def refused(self, retry_after_ns: int, sent_on: bool) -> None:
+    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
         """Say that trying again is harmless, and when."""
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Say that it failed, with no promise."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left, also where that was not read yet."""
 
-    def close_may_be_hidden(self) -> bool:
+    def disconnect_may_be_hidden(self) -> bool:
         """Whether it might have left without that being seen, for all that it has sent ahead."""
 
 
@@ -172,7 +172,7 @@
     def listed(self, change: Change, cached: bool = False) -> None:
         """Discovery, or what was known at the start, tells of servers."""
         change = self._starts.corrected(change, cached)
-        self._backends.changed(change)
+        self._backends.update_servers(change)
         mode = (
             interface.ListMode.CACHED
             if cached
@@ -241,19 +241,19 @@
                     self._backends.abandon(attempt)
             if inflight.open:
                 inflight.open = False
-                inflight.client.failed()
+                inflight.client.send_failure()
         self._in_flight.clear()
         self._events.clear()
         self._done.clear()
         self._policy = Policy(self._rng.getrandbits(64), self._config.settings, clock.now())
-        self._post(interface.ServersChanged(interface.ListMode.CACHED, tuple(self._backends.listed())))
+        self._post(interface.ServersChanged(interface.ListMode.CACHED, tuple(self._backends.servers())))
         if self._answers_due is not None:
             self._post(interface.ShutdownStarted(self._answers_due))
 
     def _fail(self, number: int, inflight: InFlight) -> None:
         if inflight.open:
             inflight.open = False
-            inflight.client.failed()
+            inflight.client.send_failure()
             self._post(interface.RequestCancelled(number))
         # Guards against an attempt that never began being taken for one that is out, here and in the module.
         for attempt_number, attempt in enumerate(inflight.attempts):
@@ -285,9 +285,9 @@
         Guards against sending on what nobody waits for: a close may lie unread behind a turn's other work,
         behind what the client wrote ahead, or behind the request itself where that was accepted late.
         """
-        if inflight.open and inflight.client.gone():
+        if inflight.open and inflight.client.has_disconnected():
             self.cancelled(number)
-        if inflight.open and inflight.client.close_may_be_hidden():
+        if inflight.open and inflight.client.disconnect_may_be_hidden():
             if inflight.out > 1:
                 return False  # another attempt is out and may still be answered
             self._give_up_unseen(number, inflight)
@@ -297,10 +297,10 @@
         """End a request whose client may have left unseen: refused, unless an attempt may have run."""
         limits = self._config.settings.limits
         if inflight.may_have_run:
-            inflight.client.failed()
+            inflight.client.send_failure()
         else:
             most = limits.max_retry_after_ns if limits.retry_after else 0
-            inflight.client.refused(min(SOON_NS, most), False)
+            inflight.client.send_refusal(min(SOON_NS, most), False)
         self.cancelled(number)
 
     def _ended(
@@ -319,13 +319,13 @@
         if first:
             assert answer is not None
             inflight.open = False
-            inflight.client.served(answer)
+            inflight.client.send_answer(answer)
         self._post(
             interface.Outcome(
                 id=request,
                 attempt=number,
                 status=status,
-                elapsed_ns=clock.now() - attempt.begun,
+                elapsed_ns=clock.now() - attempt.started_at_ns,
                 terminal=not inflight.open,
                 billed=answer.billed if answer is not None and status is interface.Status.DELIVERED else None,
                 report=answer.report if answer is not None else (),
@@ -347,20 +347,20 @@
         inflight = self._in_flight.get(action.id)
         if inflight is not None and inflight.open:
             inflight.open = False
-            inflight.client.refused(action.retry_after_ns, bool(inflight.attempts))
+            inflight.client.send_refusal(action.retry_after_ns, bool(inflight.attempts))
             self._given_up(action.id, inflight)
 
     def _failed(self, action: interface.Fail) -> None:
         inflight = self._in_flight.get(action.id)
         if inflight is not None and inflight.open:
             inflight.open = False
-            inflight.client.failed()
+            inflight.client.send_failure()
             self._given_up(action.id, inflight)
 
     def _given_up(self, number: int, inflight: InFlight) -> None:
         for attempt in inflight.attempts:
             if attempt is not None:
-                self._backends.drop_idle(attempt.server)  # it did not answer in the client's time
+                self._backends.close_idle(attempt.server)  # it did not answer in the client's time
         self._done.append(number)
 
     def _wake(self, action: interface.Wake) -> None:
