--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -50,12 +50,12 @@
 
     __slots__ = (
         "attempts",
+        "awaits_answer",
         "body",
         "client",
         "deadline_ns",
         "head",
         "may_have_run",
-        "awaits_answer",
         "open_attempts",
         "request",
     )
