--- a/tests/support.py
+++ b/tests/support.py
@@ -79,12 +79,12 @@
     return outcome(number, attempt, interface.Status.DELIVERED, True, **changes)
 
 
-def started(*servers: interface.Server, **changes: Any) -> Policy:
+def policy_with_servers(*servers: interface.Server, **changes: Any) -> Policy:
     policy = Policy(7, settings(**changes), 0)
     policy.handle(0, [listing(*(servers or (server("s1"), server("s2"))))])
     return policy
 
 
-def kinds(actions: list[interface.Action]) -> list[str]:
+def action_names(actions: list[interface.Action]) -> list[str]:
     """Names of the actions, timers left out."""
     return [type(a).__name__ for a in actions if not isinstance(a, interface.Wake)]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -10,7 +10,7 @@
 from gingerworks.gateway.requests import Checks
 from gingerworks.policy import Policy
 from tests.loopback import OK, Client, answering, ask, entry, gateway, listing, raw_config, run, until
-from tests.support import MS, outcome, request, server, started
+from tests.support import MS, outcome, policy_with_servers, request, server
 from tests.support import listing as listed
 
 HOUR_S = 3600
@@ -44,7 +44,7 @@
 
 
 def test_an_hour_of_new_customers_and_servers_leaves_the_modules_tables_flat() -> None:
-    policy = started(server("s0"), server("s1"))
+    policy = policy_with_servers(server("s0"), server("s1"))
     statuses = [
         interface.Status.DELIVERED,
         interface.Status.SHED,
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -9,7 +9,7 @@
 
 from gingerworks import interface
 from gingerworks.policy import Policy
-from tests.support import MS, SECOND, kinds, outcome, request, served, started
+from tests.support import MS, SECOND, action_names, outcome, policy_with_servers, request, served
 
 
 def drive(policy: Policy, first: int, count: int, status: interface.Status, elapsed: int) -> int:
@@ -17,7 +17,7 @@
     refused = 0
     for n in range(first, first + count):
         now = n * 100 * MS
-        if kinds(policy.handle(now, [request(n, class_name="post")])) == ["Decline"]:
+        if action_names(policy.handle(now, [request(n, class_name="post")])) == ["Decline"]:
             refused += 1
             continue
         done = status is interface.Status.DELIVERED
@@ -26,7 +26,7 @@
 
 
 def test_slow_answers_press_and_quick_ones_relieve() -> None:
-    policy = started()
+    policy = policy_with_servers()
     assert drive(policy, 0, 60, interface.Status.DELIVERED, 50 * MS) == 0
     assert drive(policy, 100, 60, interface.Status.DELIVERED, 50 * MS) == 0
     assert policy.shedder.load_ratio(policy.now) < 1.0
@@ -34,23 +34,25 @@
 
 def test_attempts_that_never_left_hide_no_overload() -> None:
     # Each counted as an answer that had taken no time: a shortage of this host let through what overloads.
-    policy = started()
+    policy = policy_with_servers()
     # Overloaded, but not so far that any request is refused.
     policy.shedder.time_in_flight_ns = 0.05 * policy.shedder.prior_ns
     before = policy.shedder.load_ratio(policy.now)
     for number in range(100):
-        assert kinds(policy.handle(policy.now, [request(number, class_name="post")])) == ["Assign"]
+        assert action_names(policy.handle(policy.now, [request(number, class_name="post")])) == ["Assign"]
         for attempt in range(policy.settings.limits.attempts):
             policy.handle(policy.now, [outcome(number, attempt, interface.Status.UNUSED)])
     assert policy.shedder.load_ratio(policy.now) == before
 
 
 def test_attempts_that_stay_out_press_before_they_are_answered() -> None:
-    policy = started()
+    policy = policy_with_servers()
     for n in range(40):
         policy.handle(n * 20 * MS, [request(n)])
     assert policy.shedder.load_ratio(policy.now) > 1.2
-    assert kinds(policy.handle(policy.now, [request(n) for n in range(100, 140)])).count("Decline") > 20
+    assert (
+        action_names(policy.handle(policy.now, [request(n) for n in range(100, 140)])).count("Decline") > 20
+    )
     for n in list(policy.in_flight):
         policy.handle(SECOND, [served(n)])
     assert policy.shedder.attempts_in_flight == 0
@@ -60,12 +62,12 @@
 
 def test_broken_connections_are_no_sign_of_load() -> None:
     # Incident ia46623: resets on all servers shut out three quarters of the traffic.
-    policy = started()
+    policy = policy_with_servers()
     assert drive(policy, 0, 80, interface.Status.DROPPED, 20 * MS) == 0
 
 
 def test_an_answer_lost_in_silence_stops_counting_as_load_once_overdue() -> None:
-    policy = started()
+    policy = policy_with_servers()
     drive(policy, 0, 30, interface.Status.DELIVERED, 50 * MS)
     policy.handle(10 * SECOND, [request(900, class_name="post")])
     policy.handle(11 * SECOND, [interface.Timer(0)])
@@ -75,7 +77,7 @@
 
 
 def test_the_least_worth_is_refused_first() -> None:
-    policy = started()
+    policy = policy_with_servers()
     look, post = policy.request_classes["look"], policy.request_classes["post"]
     plan = policy.quotas.plans["free"]
     for _ in range(50):
@@ -89,28 +91,28 @@
 
 def test_a_few_short_answers_do_not_set_the_target() -> None:
     # A quiet day was refused by half: the first answers had been short, and the target with them.
-    policy = started()
+    policy = policy_with_servers()
     drive(policy, 0, 8, interface.Status.DELIVERED, 20 * MS)
     drive(policy, 10, 400, interface.Status.DELIVERED, 200 * MS)
     assert policy.servers.target_answer_ns(policy.request_classes["post"]) > 180 * MS
 
 
 def test_the_target_stays_within_half_the_aim() -> None:
-    policy = started()
+    policy = policy_with_servers()
     drive(policy, 0, 300, interface.Status.DELIVERED, 2 * SECOND)
     assert policy.servers.target_answer_ns(policy.request_classes["post"]) <= SECOND / 2
 
 
 def test_chance_at_a_gateway_of_few_requests_sheds_nothing() -> None:
     # In a fleet of forty each gateway has eight requests a second, whose work varies by as much as its mean.
-    rng, policy, refused = random.Random(3), started(), 0
+    rng, policy, refused = random.Random(3), policy_with_servers(), 0
     ends: list[tuple[int, int, int]] = []
     for n in range(1600):
         now = n * 125 * MS
         while ends and ends[0][0] <= now:
             at, number, elapsed = heapq.heappop(ends)
             policy.handle(at, [served(number, elapsed_ns=elapsed)])
-        actions = kinds(policy.handle(now, [request(n, customer=f"c{n % 50}")]))
+        actions = action_names(policy.handle(now, [request(n, customer=f"c{n % 50}")]))
         refused += "Decline" in actions
         if "Assign" in actions:
             elapsed = min(int(rng.expovariate(1 / (160 * MS))), 400 * MS)
@@ -119,8 +121,8 @@
 
 
 def test_one_attempt_turned_away_does_not_refuse_the_next_request() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1)])
     policy.handle(MS, [outcome(1, 0, interface.Status.SHED)])
     policy.handle(2 * MS, [served(1, 1)])
-    assert all("Assign" in kinds(policy.handle(3 * MS, [request(n)])) for n in range(2, 12))
+    assert all("Assign" in action_names(policy.handle(3 * MS, [request(n)])) for n in range(2, 12))
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -11,7 +11,17 @@
 import pytest
 
 from gingerworks import interface
-from tests.support import MS, SECOND, kinds, listing, outcome, request, served, server, started
+from tests.support import (
+    MS,
+    SECOND,
+    action_names,
+    listing,
+    outcome,
+    policy_with_servers,
+    request,
+    served,
+    server,
+)
 
 ROOT = Path(__file__).parent.parent
 SOURCES = sorted((ROOT / "gingerworks" / "policy").rglob("*.py"))
@@ -56,7 +66,7 @@
 
 
 def test_a_repeated_id_and_unknown_names_are_the_callers_fault() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1)])
     for bad in (request(1), request(2, class_name="odd"), request(3, plan="odd")):
         with pytest.raises(ValueError, match=f"request {bad.id}"):
@@ -64,14 +74,14 @@
 
 
 def test_time_running_backwards_is_the_callers_fault() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(5, [])
     with pytest.raises(ValueError, match="backwards"):
         policy.handle(4, [])
 
 
 def test_outcomes_of_nothing_are_ignored() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1)])
     strange: list[interface.Event] = [
         outcome(7, 0, interface.Status.ERROR),
@@ -79,27 +89,27 @@
         interface.RequestCancelled(8),
         interface.Probed("x", interface.Status.ERROR, 1),
     ]
-    assert kinds(policy.handle(1, strange)) == []
+    assert action_names(policy.handle(1, strange)) == []
     policy.handle(2, [served(1), served(1)])
     assert policy.shedder.attempts_in_flight == 0
     assert policy.in_flight == {}
 
 
 def test_a_client_that_leaves_ends_its_request() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1, class_name="post")])
-    assert kinds(policy.handle(1, [interface.RequestCancelled(1)])) == ["CancelAttempt"]
-    assert kinds(policy.handle(2, [outcome(1, 0, interface.Status.CANCELLED, True)])) == []
+    assert action_names(policy.handle(1, [interface.RequestCancelled(1)])) == ["CancelAttempt"]
+    assert action_names(policy.handle(2, [outcome(1, 0, interface.Status.CANCELLED, True)])) == []
     assert policy.in_flight == {}
 
 
 def test_the_same_seed_and_events_give_the_same_actions() -> None:
-    runs = [[started().handle(MS, [request(n) for n in range(9)])] for _ in range(2)]
+    runs = [[policy_with_servers().handle(MS, [request(n) for n in range(9)])] for _ in range(2)]
     assert runs[0] == runs[1]
 
 
 def test_staff_are_told_of_a_change_once() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(1, [listing()])
     told = [
         a.text for s in (5, 10, 15) for a in policy.handle(s * SECOND, []) if isinstance(a, interface.Log)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -13,13 +13,24 @@
 from gingerworks.policy.constants import EPSILON
 from gingerworks.policy.customer import Call, Customer
 from gingerworks.policy.quotas import LEAST_ASKING, Quotas
-from tests.support import MS, SECOND, SMALL, kinds, listing, request, served, server, settings, started
+from tests.support import (
+    MS,
+    SECOND,
+    SMALL,
+    action_names,
+    listing,
+    policy_with_servers,
+    request,
+    served,
+    server,
+    settings,
+)
 
 DELIVERED, EXPIRED, SHED = interface.Status.DELIVERED, interface.Status.EXPIRED, interface.Status.SHED
 
 
 def customer(entries: int = 3, plan: str = "small") -> Customer:
-    return Customer(request(1, customer="c", plan=plan, entries=entries), started().quotas, 0)
+    return Customer(request(1, customer="c", plan=plan, entries=entries), policy_with_servers().quotas, 0)
 
 
 def answer(level: float, status: interface.Status = DELIVERED) -> interface.Counted:
@@ -59,7 +70,7 @@
     """Serve and count whatever is asked for, until nothing is; how many attempts were sent."""
     sent = 0
     while todo:
-        sent += kinds(todo).count("Assign")
+        sent += action_names(todo).count("Assign")
         events: list[interface.Event] = [served(a.id) for a in todo if isinstance(a, interface.Assign)]
         for call in calls(todo):
             events.append(interface.Counted(call.count, DELIVERED, totals.add(call, now), MS))
@@ -79,7 +90,7 @@
     for k in range(int(seconds * 50)):
         now = policy.now + 20 * MS
         actions = policy.handle(now, [request(first + k, plan="small", customer="c")])
-        if "Assign" in kinds(actions):
+        if "Assign" in action_names(actions):
             used += 1
             actions += policy.handle(now, [served(first + k)])
         for call in calls(actions):
@@ -90,18 +101,18 @@
 
 def test_a_silent_counter_leaves_the_even_split() -> None:
     # The even share of 2 units a second over three gateways, with the burst started with.
-    used = flood(started(), 30)
+    used = flood(policy_with_servers(), 30)
     assert 30 * 2 / 3 <= used <= 30 * 2 / 3 + 8
 
 
 def test_no_counter_at_all_leaves_the_even_split() -> None:
-    used = flood(started(has_counter=False), 30)
+    used = flood(policy_with_servers(has_counter=False), 30)
     assert 30 * 2 / 3 <= used <= 30 * 2 / 3 + 8
 
 
 def share_of_a_flood(gateways: int, seconds: int, lost_at: int = -1) -> float:
     """Units that several gateways with one true counter let in together, of far more than the quota."""
-    policies = [started(gateways=gateways, me=k) for k in range(gateways)]
+    policies = [policy_with_servers(gateways=gateways, me=k) for k in range(gateways)]
     totals = Counts()
     used = 0.0
     for step in range(seconds * 50):
@@ -196,7 +207,7 @@
 
 def test_of_several_who_see_a_wrong_count_one_puts_it_right() -> None:
     # Repairs of several gateways chased each other for a whole day: eighteen thousand calls to one count.
-    policies = [started() for _ in range(5)]
+    policies = [policy_with_servers() for _ in range(5)]
     totals = Counts()
     now, todo = 40 * SECOND, list[tuple[Policy, interface.Count]]()
     for n, policy in enumerate(policies):
@@ -220,7 +231,7 @@
 
 def test_unanswered_adds_are_not_added_again_but_refused_ones_are() -> None:
     for status, left in ((EXPIRED, 0.0), (SHED, 2.0)):
-        policy = started()
+        policy = policy_with_servers()
         actions = policy.handle(0, [request(1, plan="small", customer="c", units=2.0)])
         (call,) = calls(actions)
         policy.handle(MS, [interface.Counted(call.count, status, 0, MS)])
@@ -228,29 +239,31 @@
 
 
 def test_a_request_that_the_even_share_cannot_cover_is_held_for_one_reading() -> None:
-    policy = started()
+    policy = policy_with_servers()
     (call,) = calls(policy.handle(0, [request(1, plan="small", customer="c", entries=100)]))
     assert call.amount == 1.0
-    assert kinds(policy.handle(MS, [lacking(policy, call, 5.0, MS)])) == ["Assign"]
+    assert action_names(policy.handle(MS, [lacking(policy, call, 5.0, MS)])) == ["Assign"]
     (call,) = calls(policy.handle(MS, [request(2, plan="small", customer="c", entries=100)]))
     heard = policy.handle(2 * MS, [lacking(policy, call, 9.5, 2 * MS)])
-    assert kinds(heard) == ["Decline", "Count"]
+    assert action_names(heard) == ["Decline", "Count"]
     assert [a.amount for a in calls(heard)] == [-1.0]  # what was refused is taken back
     # Known to be dry, it is refused at once until the refill could cover it.
-    assert kinds(policy.handle(2 * MS, [request(3, plan="small", customer="c", entries=100)])) == ["Decline"]
+    assert action_names(policy.handle(2 * MS, [request(3, plan="small", customer="c", entries=100)])) == [
+        "Decline"
+    ]
 
 
 def test_a_client_that_leaves_while_held_takes_nothing() -> None:
-    policy = started()
+    policy = policy_with_servers()
     (call,) = calls(policy.handle(0, [request(1, plan="small", customer="c", entries=100)]))
-    assert kinds(policy.handle(1, [interface.RequestCancelled(1)])) == []
+    assert action_names(policy.handle(1, [interface.RequestCancelled(1)])) == []
     heard = policy.handle(MS, [lacking(policy, call, 1.0, MS)])
     assert [a.amount for a in calls(heard)] == [-1.0]
-    assert "Assign" not in kinds(heard)
+    assert "Assign" not in action_names(heard)
 
 
 def test_an_outage_of_the_counter_is_over_for_us_as_soon_as_it_answers() -> None:
-    quotas = started().quotas
+    quotas = policy_with_servers().quotas
     for _ in range(50):
         quotas.steer(late=True)
     assert quotas.asking == pytest.approx(0.1)
@@ -260,7 +273,7 @@
 
 
 def test_true_units_are_settled_once_and_told() -> None:
-    policy = started(cost_after=True)
+    policy = policy_with_servers(cost_after=True)
     policy.handle(0, [request(1, plan="small", customer="c", units=2.0)])
     before = policy.quotas.customers["c", "small"].gap.level
     policy.handle(1, [served(1, billed=4.0)])
@@ -271,13 +284,13 @@
 
 
 def test_an_answer_that_was_not_asked_for_is_ignored() -> None:
-    policy = started()
-    assert kinds(policy.handle(1, [interface.Counted(99, DELIVERED, 5, MS)])) == []
+    policy = policy_with_servers()
+    assert action_names(policy.handle(1, [interface.Counted(99, DELIVERED, 5, MS)])) == []
     assert policy.quotas.customers == {}
 
 
 def test_idle_full_counters_are_dropped_whatever_the_number_of_customers() -> None:
-    policy = started()
+    policy = policy_with_servers()
     most, totals = 0, Counts()
     for n in range(3000):
         now = n * 20 * MS
@@ -289,7 +302,7 @@
 
 
 def test_a_plan_named_in_a_customers_name_by_another_leaves_its_own_alone() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1, plan="capped", customer="c")])
     policy.handle(0, [request(2, plan="small", customer="c")])
     plans = {customer.plan.name for customer in policy.quotas.customers.values()}
@@ -300,7 +313,7 @@
 
 def test_use_that_the_slice_covered_in_an_outage_is_not_told_at_its_end() -> None:
     # Told by all gateways at once, it made every customer look dry for as long as the outage had lasted.
-    policy = started()
+    policy = policy_with_servers()
     told: list[float] = []
     for n in range(200):  # 0.5 units a second, of a slice of two thirds
         now = n * 100 * MS
@@ -315,7 +328,7 @@
 
 def test_customers_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("gingerworks.policy.quotas.CUSTOMERS_MOST", 50)
-    policy = started()
+    policy = policy_with_servers()
     for n in range(200):
         told = [
             interface.Counted(c.count, DELIVERED, 1.0, MS)
@@ -327,7 +340,7 @@
 
 def test_customers_seen_once_do_not_ask_a_counter_that_turns_calls_away_for_ever() -> None:
     # Calls for use long refilled, each turned away and made again, once kept the counter from all others.
-    policy = started()
+    policy = policy_with_servers()
     now = made = 0
     for n in range(1500):
         now = n * 20 * MS
@@ -347,10 +360,10 @@
 
 def test_a_call_that_is_out_keeps_its_customer() -> None:
     # The sweep once dropped a customer whose call had not been answered.
-    policy = started()
+    policy = policy_with_servers()
     (call,) = calls(policy.handle(0, [request(1, plan="small", customer="c"), served(1)]))
     policy.handle(25 * SECOND, [interface.Timer(0)])
-    assert kinds(policy.handle(26 * SECOND, [lacking(policy, call, 1.0, 26 * SECOND)])) == []
+    assert action_names(policy.handle(26 * SECOND, [lacking(policy, call, 1.0, 26 * SECOND)])) == []
 
 
 def test_the_ceiling_starts_empty_and_fills_at_its_even_share() -> None:
@@ -368,7 +381,7 @@
 
 
 def test_without_a_counter_the_ceiling_is_shared_whole() -> None:
-    quotas = started(has_counter=False).quotas
+    quotas = policy_with_servers(has_counter=False).quotas
     c = Customer(request(1, customer="c", plan="capped", entries=3), quotas, 0)
     c.advance(60 * SECOND)
     assert c.ceiling is not None
@@ -401,7 +414,7 @@
         ask = request(number, plan="tight", customer="c", entries=13)
         todo = gateways[chosen].handle(now, [ask])
         while todo:
-            store -= kinds(todo).count("Assign")
+            store -= action_names(todo).count("Assign")
             events: list[interface.Event] = [served(a.id) for a in todo if isinstance(a, interface.Assign)]
             for call in calls(todo):
                 if hears(chosen, now - start):
@@ -426,7 +439,7 @@
 
 def test_a_counter_that_refuses_at_once_is_not_called_at_once_again() -> None:
     # Found by hunt: while the counter refused, each answer set off the next call.
-    policy, called = started(), 0
+    policy, called = policy_with_servers(), 0
     for k in range(1000):
         actions = policy.handle(k * 2 * MS, [interface.Timer(0)])
         if k % 10 == 0:
@@ -440,24 +453,24 @@
 
 def test_what_a_reading_has_booked_needs_no_part_of_the_ceiling() -> None:
     # At fifteen gateways a customer's part of the ceiling is two requests: new gateways refused what fitted.
-    policy = started(server("s1"))
+    policy = policy_with_servers(server("s1"))
     ask = request(1, plan="capped", customer="c", entries=15, units=1.0)
     actions = policy.handle(MS, [ask])
     (call,) = calls(actions)
     assert [type(a).__name__ for a in actions if isinstance(a, interface.Decline | interface.Assign)] == []
     told = policy.handle(2 * MS, [interface.Counted(call.count, interface.Status.DELIVERED, call.amount, MS)])
-    assert "Assign" in kinds(told)
+    assert "Assign" in action_names(told)
 
 
 def test_what_no_reading_has_booked_stays_within_the_part_of_the_ceiling() -> None:
-    policy, let_in = started(server("s1")), 0
+    policy, let_in = policy_with_servers(server("s1")), 0
     for n in range(100):  # in the first second of a gateway, while the counter says nothing
         actions = policy.handle(n * 10 * MS, [request(n, plan="capped", customer="c", entries=15, units=1.0)])
         for call in calls(actions):
             actions += policy.handle(
                 n * 10 * MS, [interface.Counted(call.count, interface.Status.EXPIRED, 0.0, MS)]
             )
-        if "Assign" in kinds(actions):
+        if "Assign" in action_names(actions):
             let_in += 1
             policy.handle(n * 10 * MS, [served(n)])
     assert let_in <= 40.0 / 15 + 1  # its rate's even share
@@ -465,7 +478,7 @@
 
 def test_what_a_reading_has_booked_leaves_the_unheard_the_less_of_the_ceiling() -> None:
     # 31 requests let in by readings and 27 unheard ones in three seconds took a store of 26 below its slack.
-    policy, totals = started(server("s1")), Counts()
+    policy, totals = policy_with_servers(server("s1")), Counts()
     booked = unheard = 0
     for n in range(100):
         now = 30 * SECOND + n * MS
@@ -473,7 +486,7 @@
         if n < 10:
             booked += settle(policy, now, todo, totals)
         while n >= 10 and todo:  # the counter has fallen silent
-            unheard += kinds(todo).count("Assign")
+            unheard += action_names(todo).count("Assign")
             events: list[interface.Event] = [
                 interface.Counted(c.count, interface.Status.EXPIRED, 0.0, MS) for c in calls(todo)
             ]
@@ -502,7 +515,7 @@
 
 def calls_of_a_flooded_customer(entries: int) -> tuple[int, float]:
     """The calls that 100 requests of a customer cost whose store others empty, and what they add in all."""
-    policy, made, added = started(server("s1")), 0, 0.0
+    policy, made, added = policy_with_servers(server("s1")), 0, 0.0
     for n in range(100):
         now = n * SECOND
         todo = calls(policy.handle(now, [request(n, plan="small", customer="c", entries=entries)]))
@@ -531,7 +544,7 @@
 
 def test_what_a_reading_booked_for_a_request_that_the_ceiling_refuses_is_given_back() -> None:
     # The count of a customer under a ceiling grew with each such refusal: it was refused with a full store.
-    policy, added = started(server("s1")), 0.0
+    policy, added = policy_with_servers(server("s1")), 0.0
     for number in range(20):
         now = (number + 1) * MS
         todo = calls(policy.handle(now, [request(number, plan="capped", customer="c", entries=15)]))
@@ -541,7 +554,7 @@
             # The store has room for ten requests more, but it is not at rest: none passes beside the part.
             level = 20.0 + max(0.0, call.amount) + 20.0 * (now - call_began(policy)) / SECOND
             heard = policy.handle(now, [interface.Counted(call.count, DELIVERED, level, MS)])
-            assert "Assign" not in kinds(heard)
+            assert "Assign" not in action_names(heard)
             todo += calls(heard)
     (customer,) = policy.quotas.customers.values()
     assert added + customer.pending == pytest.approx(0.0)
@@ -550,11 +563,11 @@
 
 def test_what_an_unanswered_call_added_for_a_refused_request_is_taken_back() -> None:
     # Nine units that nobody used stayed in a customer's count for a day: it was refused with a full store.
-    policy = started(server("s1"))
+    policy = policy_with_servers(server("s1"))
     ask = request(1, plan="capped", customer="c", entries=15, units=1.0)
     (call,) = calls(policy.handle(MS, [ask]))
     late = policy.handle(51 * MS, [interface.Counted(call.count, interface.Status.EXPIRED, 0.0, 50 * MS)])
-    assert "Decline" in kinds(late)  # a new gateway has no part of the ceiling yet
+    assert "Decline" in action_names(late)  # a new gateway has no part of the ceiling yet
     (customer,) = policy.quotas.customers.values()
     assert customer.pending == -call.amount
     (again,) = calls(policy.handle(60 * MS, [request(2, plan="capped", customer="c", entries=15, units=1.0)]))
@@ -562,9 +575,9 @@
 
 
 def test_without_a_counter_the_part_of_the_ceiling_decides_at_once() -> None:
-    policy = started(server("s1"), has_counter=False)
+    policy = policy_with_servers(server("s1"), has_counter=False)
     made = [request(n, plan="capped", customer="c", entries=15, units=1.0) for n in range(9)]
-    actions = kinds(policy.handle(MS, made))
+    actions = action_names(policy.handle(MS, made))
     assert actions.count("Assign") + actions.count("Decline") == 9
     assert "Count" not in actions
 
@@ -572,7 +585,7 @@
 @pytest.mark.parametrize("asking", [0.1, 0.9, 1.0])
 def test_requests_worth_nothing_and_overruns_that_cost_nothing_are_decided_like_others(asking: float) -> None:
     plans = (replace(SMALL, price=0.0), replace(SMALL, name="free of cost", overrun_cost=0.0))
-    policy, totals = started(server("s1"), plans=plans), Counts()
+    policy, totals = policy_with_servers(server("s1"), plans=plans), Counts()
     sent = dict.fromkeys((plan.name for plan in plans), 0)
     for number in range(300):
         plan = plans[number % 2].name
@@ -586,7 +599,7 @@
 def test_a_call_tells_what_was_let_in_and_stands_for_nothing_else() -> None:
     # After a few late answers one request stood for ten that had been refused, and emptied the store for all.
     for plan in ("small", "capped"):
-        policy, totals, told, sent = started(server("s1")), Counts(), 0.0, 0
+        policy, totals, told, sent = policy_with_servers(server("s1")), Counts(), 0.0, 0
         for number in range(400):
             now = number * 40 * MS
             policy.quotas.asking = policy.quotas.keeps_up = 0.25
@@ -601,7 +614,7 @@
                 )
                 todo += calls(heard)
                 actions += heard
-            sent += kinds(actions).count("Assign")
+            sent += action_names(actions).count("Assign")
             policy.handle(now, [served(number)])
         (customer,) = policy.quotas.customers.values()
         assert sent > 20
@@ -611,7 +624,7 @@
 def test_refusals_are_taken_back_at_once_only_while_the_counter_keeps_up() -> None:
     # Of 200 calls a second that a crowded counter took, 50 told of requests that had been refused.
     for asking, at_once in ((1.0, True), (0.3, False)):
-        policy, number = started(server("s1")), 0
+        policy, number = policy_with_servers(server("s1")), 0
         asked: list[interface.Count] = []
         while not asked:
             policy.quotas.asking = policy.quotas.keeps_up = asking
@@ -622,7 +635,7 @@
         told = policy.handle(
             policy.now + MS, [interface.Counted(call.count, interface.Status.DELIVERED, full, MS)]
         )
-        assert "Decline" in kinds(told)
+        assert "Decline" in action_names(told)
         assert [back.amount for back in calls(told)] == ([-call.amount] if at_once else [])
         later = calls(policy.handle(policy.now + 10 * SECOND, [interface.Timer(0)]))
         assert sum(back.amount for back in later) == (0.0 if at_once else -call.amount)
@@ -632,7 +645,7 @@
 def test_repairs_of_many_gateways_do_not_chase_each_other(gateways: int) -> None:
     # Each repaired what the others' repairs had made of the count: a call added 276,673 requests on one day.
     policies, totals, draw = (
-        [started() for _ in range(gateways)],
+        [policy_with_servers() for _ in range(gateways)],
         Counts(),
         random.Random(3),
     )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -16,30 +16,30 @@
     CAPPED,
     MS,
     SECOND,
-    kinds,
+    action_names,
     listing,
     outcome,
+    policy_with_servers,
     request,
     served,
     server,
     settings,
-    started,
 )
 
 
 def test_a_request_is_answered_before_its_client_leaves() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1, class_name="post", ttl_ns=SECOND)])
-    assert kinds(policy.handle(SECOND - 3 * MS, [interface.Timer(0)])) == []
-    assert kinds(policy.handle(SECOND - 2 * MS, [interface.Timer(0)])) == ["Fail", "CancelAttempt"]
-    assert kinds(policy.handle(2 * SECOND, [interface.Timer(0)])) == []
+    assert action_names(policy.handle(SECOND - 3 * MS, [interface.Timer(0)])) == []
+    assert action_names(policy.handle(SECOND - 2 * MS, [interface.Timer(0)])) == ["Fail", "CancelAttempt"]
+    assert action_names(policy.handle(2 * SECOND, [interface.Timer(0)])) == []
 
 
 def test_no_server_at_all_is_a_refusal_at_once() -> None:
     policy = Policy(1, settings(), 0)
-    assert kinds(policy.handle(0, [listing(), request(1)])) == ["Decline"]
+    assert action_names(policy.handle(0, [listing(), request(1)])) == ["Decline"]
     drained = listing(server("s1", phase=interface.Phase.DRAINING))
-    assert kinds(policy.handle(1, [drained, request(2)])) == ["Decline"]
+    assert action_names(policy.handle(1, [drained, request(2)])) == ["Decline"]
 
 
 def test_every_refusal_says_when_to_come_back() -> None:
@@ -49,7 +49,7 @@
         for a in Policy(1, settings(), 0).handle(0, [listing(), request(1)])
         if isinstance(a, interface.Decline)
     )
-    policy = started(server("s1"))
+    policy = policy_with_servers(server("s1"))
     policy.handle(0, [request(1, ttl_ns=SECOND)])
     late = [
         a for a in policy.handle(SECOND - 2 * MS, [interface.Timer(0)]) if isinstance(a, interface.Decline)
@@ -64,30 +64,32 @@
         interface.Status.DROPPED,
         interface.Status.CANCELLED,
     ):
-        policy = started()
+        policy = policy_with_servers()
         policy.handle(0, [request(1, class_name="post")])
-        assert kinds(policy.handle(MS, [outcome(1, 0, status)])) == ["Fail"]
+        assert action_names(policy.handle(MS, [outcome(1, 0, status)])) == ["Fail"]
 
 
 def test_an_unsafe_request_that_never_ran_is_sent_again() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1, class_name="post")])
-    assert kinds(policy.handle(MS, [outcome(1, 0, interface.Status.SHED)])) == ["Assign"]
+    assert action_names(policy.handle(MS, [outcome(1, 0, interface.Status.SHED)])) == ["Assign"]
 
 
 def test_a_keyed_request_stays_in_its_cell_and_window() -> None:
     cells = (server("s1", cell=1), server("s2", cell=2))
-    policy = started(*cells)
+    policy = policy_with_servers(*cells)
     policy.handle(0, [request(1, class_name="put")])
     first = next(
         a for a in policy.handle(0, [request(2, class_name="put")]) if isinstance(a, interface.Assign)
     )
     again = policy.handle(MS, [outcome(2, 0, interface.Status.ERROR)])
     assert [a.server for a in again if isinstance(a, interface.Assign)] == [first.server]
-    assert kinds(policy.handle(3 * SECOND - MS, [outcome(2, 1, interface.Status.ERROR)])) != ["Decline"]
-    late = started(*cells)
+    assert action_names(policy.handle(3 * SECOND - MS, [outcome(2, 1, interface.Status.ERROR)])) != [
+        "Decline"
+    ]
+    late = policy_with_servers(*cells)
     late.handle(0, [request(3, class_name="put", ttl_ns=4 * SECOND)])
-    assert kinds(late.handle(3 * SECOND, [outcome(3, 0, interface.Status.ERROR)])) == ["Fail"]
+    assert action_names(late.handle(3 * SECOND, [outcome(3, 0, interface.Status.ERROR)])) == ["Fail"]
 
 
 @pytest.mark.parametrize("connect_ms", [100, 250, 2000])
@@ -95,14 +97,14 @@
     # One chosen just within the window came after it, on a connection that took its time: a second effect.
     base = settings().limits
     for before_end, again in ((connect_ms + 1, "Assign"), (connect_ms, "Fail"), (1, "Fail")):
-        policy = started(server("s1"), limits=replace(base, connect_ns=connect_ms * MS))
+        policy = policy_with_servers(server("s1"), limits=replace(base, connect_ns=connect_ms * MS))
         policy.handle(0, [request(1, class_name="put", ttl_ns=4 * SECOND)])
         actions = policy.handle(3 * SECOND - before_end * MS, [outcome(1, 0, interface.Status.ERROR)])
-        assert kinds(actions) == [again]
+        assert action_names(actions) == [again]
 
 
 def test_nothing_new_goes_to_a_draining_or_missing_server() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(1, [listing(server("s1", phase=interface.Phase.DRAINING), mode=interface.ListMode.DELTA)])
     for n in range(20):
         actions = policy.handle(2, [request(n)])
@@ -114,7 +116,7 @@
 
 
 def test_a_cold_server_gets_its_warmths_share() -> None:
-    policy = started(server("s1"), server("s2"), server("cold", started_ns=SECOND))
+    policy = policy_with_servers(server("s1"), server("s2"), server("cold", started_ns=SECOND))
     sent = {"s1": 0, "s2": 0, "cold": 0}
     for n in range(400):
         now = SECOND + n * 10 * MS
@@ -282,16 +284,16 @@
 
 
 def test_a_stream_that_has_begun_has_no_deadline() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1, ttl_ns=SECOND)])
     policy.handle(MS, [interface.Started(1, 0)])
-    assert kinds(policy.handle(2 * SECOND, [interface.Timer(0)])) == []
-    assert kinds(policy.handle(3 * SECOND, [served(1)])) == []
+    assert action_names(policy.handle(2 * SECOND, [interface.Timer(0)])) == []
+    assert action_names(policy.handle(3 * SECOND, [served(1)])) == []
     assert policy.in_flight == {}
 
 
 def test_servers_that_are_gone_are_forgotten() -> None:
-    policy = started()
+    policy = policy_with_servers()
     for number in range(200):  # replaced all day, each under a new name
         fresh = interface.Server(f"new{number}", interface.Phase.READY)
         old = interface.Server(f"new{number - 5}", interface.Phase.GONE)
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -36,7 +36,7 @@
     raw_config,
     read_message,
 )
-from tests.support import MS, SECOND, outcome, request, served, started
+from tests.support import MS, SECOND, outcome, policy_with_servers, request, served
 
 KILL_DELAY_S = 0.7
 COUNTED_MOST_S = 3.0
@@ -501,7 +501,7 @@
     [(interface.Status.DROPPED, interface.Decline), (interface.Status.SHED, interface.Decline)],
 )
 def test_no_retry_begins_that_the_shutdown_leaves_no_time(ended: interface.Status, answer: type) -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [request(1)])
     due = SECOND
     policy.handle(MS, [interface.ShutdownStarted(due)])
@@ -512,7 +512,7 @@
 
 def test_a_retry_or_hedge_during_the_shutdown_has_no_more_time_than_it_leaves() -> None:
     for late in (outcome(1, 0, interface.Status.DROPPED), interface.Timer(0)):
-        policy = started()
+        policy = policy_with_servers()
         for number in range(10, 40):  # the servers are well: a late answer is worth a hedge
             policy.handle(0, [request(number)])
             policy.handle(0, [served(number)])
@@ -525,7 +525,7 @@
 
 
 def test_a_request_that_the_shutdown_does_not_cut_is_decided_as_always() -> None:
-    policy = started()
+    policy = policy_with_servers()
     policy.handle(0, [interface.ShutdownStarted(SECOND)])
     (assign,) = [
         a for a in policy.handle(1, [request(1, ttl_ns=SECOND // 10)]) if isinstance(a, interface.Assign)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -40,7 +40,7 @@
     run,
     until,
 )
-from tests.support import MS, SECOND, request, started
+from tests.support import MS, SECOND, policy_with_servers, request
 from tests.test_gateway_attempts import Ended, attempt, backends, ending
 from tests.test_gateway_counter import call as counted
 from tests.test_gateway_counter import counter, echoing, scripted
@@ -331,7 +331,7 @@
 
 def test_calls_that_never_left_do_not_make_others_rarer() -> None:
     # The counter was asked less often for a shortage of this host, as if it had been late.
-    policy = started()
+    policy = policy_with_servers()
     before = policy.quotas.asking
     for number in range(8):
         event = request(number, plan="small", customer=f"c{number}", units=4.0, entries=200)
--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -6,7 +6,7 @@
 
 from gingerworks import interface
 from gingerworks.policy import Policy
-from tests.support import MS, SECOND, listing, outcome, request, served, server, started
+from tests.support import MS, SECOND, listing, outcome, policy_with_servers, request, served, server
 
 
 def sent_to(actions: list[interface.Action]) -> list[str]:
@@ -33,14 +33,14 @@
 
 def test_further_tries_after_refused_connections_need_no_budget() -> None:
     # During a release many servers are gone before the list says so, and the budget was spent on them.
-    policy = started(server("alive"), server("dead1"), server("dead2"))
+    policy = policy_with_servers(server("alive"), server("dead1"), server("dead2"))
     policy.retry_budget.level = 0.0
     for number in range(30):
         assert try_all(policy, number, number * 3 * SECOND, {"dead1", "dead2"})[-1] == "alive"
 
 
 def test_a_server_that_refuses_connections_is_left_alone_for_longer_each_time() -> None:
-    policy, times = started(server("alive"), server("dead")), []
+    policy, times = policy_with_servers(server("alive"), server("dead")), []
     for n in range(600):
         # Slower than the other server, which is therefore preferred whenever it is not left out.
         policy.servers.backends["alive"].relative_answer_time = 3.0
@@ -55,7 +55,7 @@
 
 def test_attempts_that_never_left_need_no_budget_and_leave_no_server_out() -> None:
     # A shortage of this host was held against each server that it met, and the whole fleet was left out.
-    policy = started(server("s1"), server("s2"))
+    policy = policy_with_servers(server("s1"), server("s2"))
     policy.retry_budget.level = 0.0
     try_all(policy, 1, 0, {"s1", "s2"}, interface.Status.UNUSED)
     level = policy.retry_budget.level
@@ -68,7 +68,7 @@
 
 
 def test_it_is_used_again_once_told_to_have_started() -> None:
-    policy = started(server("s1"), server("s2"))
+    policy = policy_with_servers(server("s1"), server("s2"))
     for n in range(8):
         try_all(policy, n, n * MS, {"s1"})
     policy.handle(SECOND, [listing(server("s1", started_ns=1), mode=interface.ListMode.DELTA)])
@@ -78,6 +78,6 @@
 
 
 def test_where_all_refuse_they_are_tried_all_the_same() -> None:
-    policy = started(server("s1"), server("s2"))
+    policy = policy_with_servers(server("s1"), server("s2"))
     for n in range(6):
         assert try_all(policy, n, n * MS, {"s1", "s2"})
