--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -44,21 +44,21 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        seconds: float,
-        done: Callable[[socket.socket], None],
-        failed: Callable[[DialError], None],
+        timeout_s: float,
+        on_connected: Callable[[socket.socket], None],
+        on_failed: Callable[[DialError], None],
     ) -> None:
         """Begin at once; an error that shows right away raises ``DialError``."""
         self._loop = loop
-        self._done = done
-        self._failed = failed
+        self._on_connected = on_connected
+        self._on_failed = on_failed
         self._socket = _begin(address)
         try:
-            loop.add_writer(self._socket.fileno(), self._writable)
+            loop.add_writer(self._socket.fileno(), self._on_writable)
         except OSError as fault:
             self._socket.close()
             raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
-        self._timer = loop.call_later(seconds, self._time_over)
+        self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
         """Give it up; neither callback is called any more."""
@@ -69,14 +69,14 @@
         self._timer.cancel()
         self._loop.remove_writer(self._socket.fileno())
 
-    def _time_over(self) -> None:
+    def _on_timeout(self) -> None:
         self._fail(DialError(DialFailure.UNREACHABLE, "it did not come up in time"))
 
     def _fail(self, error: DialError) -> None:
         self.cancel()
-        self._failed(error)
+        self._on_failed(error)
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         try:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as fault:
@@ -86,7 +86,7 @@
             failure = DialFailure.LOCAL if code in DIAL_SHORTAGE else DialFailure.UNREACHABLE
             return self._fail(DialError.from_errno(failure, code))
         self._stop()
-        return self._done(self._socket)
+        return self._on_connected(self._socket)
 
 
 def _begin(address: Address) -> socket.socket:
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -530,7 +530,7 @@
     class Held(Dial):
         """A connection that is up, of which nobody has been told yet."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._loop.remove_writer(self._socket.fileno())
             held.append(self)
 
@@ -565,9 +565,9 @@
     class Held(Dial):
         """A connection that is up; the loop is busy and runs neither this nor the timer meanwhile."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._stop()
-            held.append(super()._writable)
+            held.append(super()._on_writable)
 
     monkeypatch.setattr(backend_module, "Dial", Held)
 
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -68,9 +68,9 @@
     class Held(Dial):
         """A connection that comes up only when the test says so."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._loop.remove_writer(self._socket.fileno())
-            held.append(super()._writable)
+            held.append(super()._on_writable)
 
     monkeypatch.setattr(backend, "Dial", Held)
     return held
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -279,13 +279,13 @@
         dials: list[Dial] = []
         sender = await Sender.to(made)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Dial, "_writable", hold_up(dials))
+            patch.setattr(Dial, "_on_writable", hold_up(dials))
             sender.send(ask("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
             termination = Termination(made, 8.0)
         hold_loop_until(termination.kill_s - 0.2)
-        dial._writable()
+        dial._on_writable()
         assert (await sender.answer())[0] == 503
         assert server.requests == []
         await termination.ended()
@@ -300,13 +300,13 @@
         sender = await Sender.to(made)
         dials: list[Dial] = []
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Dial, "_writable", hold_up(dials))
+            patch.setattr(Dial, "_on_writable", hold_up(dials))
             sender.send(ask("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
             termination = Termination(made, 8.0)
         await termination.moment(0.5)
-        dial._writable()
+        dial._on_writable()
         assert (await sender.answer())[0] == 502
         assert termination.at_s + 0.5 + told_s(server.requests[0]) < termination.kill_s
         await termination.ended()
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -290,9 +290,9 @@
     class Held(Dial):
         """A connection that is up; the loop is busy and runs neither this nor the timer meanwhile."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._stop()
-            held.append(super()._writable)
+            held.append(super()._on_writable)
 
     monkeypatch.setattr(backend, "Dial", Held)
     stepped = SteppedClock(monkeypatch)
