--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -18,9 +18,9 @@
 from gingerworks.gateway.staleness import AT_ONCE_NS, Staleness
 from gingerworks.gateway.system_errors import (
     DESCRIPTOR_SHORTAGE,
-    SHORTAGE,
-    TRY_AGAIN,
-    explain,
+    RESOURCE_SHORTAGE,
+    RETRYABLE,
+    describe_error,
 )
 
 IDLE_SHARE = 0.4  # of the time after which a server closes an idle connection at the latest
@@ -170,9 +170,9 @@
         try:
             data = self.socket.recv(65536)
         except OSError as fault:
-            if fault.errno in SHORTAGE:
+            if fault.errno in RESOURCE_SHORTAGE:
                 return self._read_again_later()
-            if fault.errno in TRY_AGAIN:
+            if fault.errno in RETRYABLE:
                 return None  # the connection lives, and what has come stays in the kernel
             data, self.ends_at_close = b"", False  # a reset is no end
         if self.attempt is None:
@@ -485,9 +485,9 @@
 
     def send_failure_status(self, fault: OSError) -> interface.Status:
         """What an attempt came to whose request could not be written whole."""
-        if fault.errno not in SHORTAGE:
+        if fault.errno not in RESOURCE_SHORTAGE:
             return interface.Status.DIAL_FAILED
-        self._report_shortage(explain(fault.errno), fault.errno)
+        self._report_shortage(describe_error(fault.errno), fault.errno)
         return interface.Status.UNUSED
 
     def _report_shortage(self, text: str, code: int) -> None:
--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -16,7 +16,7 @@
 from gingerworks.gateway.backend import Answer
 from gingerworks.gateway.connection_owner import ConnectionOwner
 from gingerworks.gateway.requests import BODY_BYTES, HEAD_BYTES, Message, Refusal
-from gingerworks.gateway.system_errors import TRY_AGAIN
+from gingerworks.gateway.system_errors import RETRYABLE
 
 MESSAGE_BYTES = HEAD_BYTES + 8 * BODY_BYTES  # small chunks frame every byte with six more
 PIPELINED = 1  # requests read ahead on one connection; one that sends more is not read meanwhile
@@ -379,4 +379,4 @@
         except BlockingIOError:
             return False
         except OSError as fault:
-            return fault.errno in TRY_AGAIN
+            return fault.errno in RETRYABLE
--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -14,7 +14,12 @@
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.dial import Dial, DialError, DialFailure
 from gingerworks.gateway.read_retry import retry_read_later
-from gingerworks.gateway.system_errors import SHORTAGE, SHORTAGE_PAUSE_S, TRY_AGAIN, explain
+from gingerworks.gateway.system_errors import (
+    RESOURCE_SHORTAGE,
+    RETRYABLE,
+    SHORTAGE_RETRY_DELAY_S,
+    describe_error,
+)
 
 REST_NS = (
     3 * clock.NS_PER_S
@@ -160,9 +165,9 @@
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError as fault:
-            if fault.errno in SHORTAGE:
+            if fault.errno in RESOURCE_SHORTAGE:
                 return self._flush_later()
-            log.info("counter: connection broke: %s", explain(fault.errno or 0))
+            log.info("counter: connection broke: %s", describe_error(fault.errno or 0))
             return self._lost()
         self._used_at = clock.now()
         self._taken(sent)
@@ -186,7 +191,7 @@
         """
         self._watch_writable(False)
         self._flushing = True
-        self._loop.call_later(SHORTAGE_PAUSE_S, self._flush)
+        self._loop.call_later(SHORTAGE_RETRY_DELAY_S, self._flush)
 
     def _watch_writable(self, wanted: bool) -> None:
         if wanted == self._watching:
@@ -203,9 +208,9 @@
         try:
             data = self._socket.recv(65536)
         except OSError as fault:
-            if fault.errno in SHORTAGE:
+            if fault.errno in RESOURCE_SHORTAGE:
                 return self._read_later()
-            if fault.errno in TRY_AGAIN:
+            if fault.errno in RETRYABLE:
                 return None  # the connection lives, and what has come stays in the kernel
             data = b""
         if not data:
--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from gingerworks.gateway.config import Address
-from gingerworks.gateway.system_errors import DIAL_SHORTAGE, NO_ROUTE, explain
+from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
 # Interrupted by a signal, a connection goes on coming up all the same (connect(2)).
 UNDER_WAY = (0, errno.EINPROGRESS, errno.EINTR)
@@ -34,7 +34,7 @@
     @classmethod
     def from_errno(cls, failure: DialFailure, code: int) -> DialError:
         """The failure of a system call."""
-        return cls(failure, explain(code), code)
+        return cls(failure, describe_error(code), code)
 
 
 class Dial:
@@ -83,7 +83,7 @@
             # Whether it came up is not known; nothing has been sent on it.
             return self._fail(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
         if code:
-            failure = DialFailure.LOCAL if code in DIAL_SHORTAGE else DialFailure.UNREACHABLE
+            failure = DialFailure.LOCAL if code in LOCAL_CONNECT_ERRORS else DialFailure.UNREACHABLE
             return self._fail(DialError.from_errno(failure, code))
         self._stop()
         return self._on_connected(self._socket)
@@ -105,5 +105,5 @@
     if code in UNDER_WAY:
         return sock
     sock.close()
-    local = code in DIAL_SHORTAGE or code in NO_ROUTE
+    local = code in LOCAL_CONNECT_ERRORS or code in NO_LOCAL_ROUTE
     raise DialError.from_errno(DialFailure.LOCAL if local else DialFailure.UNREACHABLE, code)
--- a/gingerworks/gateway/discovery.py
+++ b/gingerworks/gateway/discovery.py
@@ -19,7 +19,7 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 from gingerworks.gateway.config import Address, address_from
-from gingerworks.gateway.system_errors import SHORTAGE, explain
+from gingerworks.gateway.system_errors import RESOURCE_SHORTAGE, describe_error
 
 # Seconds.  From any change on, all that may come before the list is heard has to fit in TOLD_S, at any number
 # of gateways: either the former watch's silence, a pause, a connection and a first line, or a refusal's pause
@@ -184,8 +184,8 @@
             try:
                 await self._follow()
             except OSError as fault:
-                why = explain(fault.errno) if fault.errno else str(fault) or type(fault).__name__
-                if fault.errno in SHORTAGE:
+                why = describe_error(fault.errno) if fault.errno else str(fault) or type(fault).__name__
+                if fault.errno in RESOURCE_SHORTAGE:
                     self._state = State.SHORT
             except (ValueError, httptools.HttpParserError) as fault:
                 why = str(fault) or type(fault).__name__
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -17,7 +17,7 @@
 from gingerworks.gateway.requests import Checks, Message, Refusal
 from gingerworks.gateway.runtime import Runtime
 from gingerworks.gateway.shutdown import GracefulShutdown, ShutdownPhase
-from gingerworks.gateway.system_errors import NOT_ACCEPTED, SHORTAGE, explain
+from gingerworks.gateway.system_errors import CONNECTION_NOT_ACCEPTED, RESOURCE_SHORTAGE, describe_error
 
 HEALTH = b"/_health"
 BACKLOG = 4096
@@ -107,7 +107,7 @@
             except BlockingIOError:
                 return True
             except OSError as fault:
-                if fault.errno in NOT_ACCEPTED:
+                if fault.errno in CONNECTION_NOT_ACCEPTED:
                     continue  # that connection is gone; others may wait behind it
                 return self._cannot_accept(fault.errno or 0)
             self._accept_fault = 0
@@ -120,7 +120,7 @@
         Only a shortage is met by making room: any other fault of the listener is no client's.
         """
         self._tell_accept_fault(code)
-        if code in SHORTAGE:
+        if code in RESOURCE_SHORTAGE:
             self.clients.make_room()
         self._pause_accepting()
         # accept(2) takes a descriptor before it looks whether anybody waits: the error does not tell.
@@ -130,7 +130,7 @@
         """One line for each trouble, however many times it is met."""
         if code != self._accept_fault:
             self._accept_fault = code
-            log.warning("accept: %s", explain(code))
+            log.warning("accept: %s", describe_error(code))
 
     def _somebody_waits(self) -> bool:
         assert self._listener is not None
@@ -314,4 +314,4 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as fault:
-        log.info("a client's socket: %s", explain(fault.errno or 0))
+        log.info("a client's socket: %s", describe_error(fault.errno or 0))
--- a/gingerworks/gateway/read_retry.py
+++ b/gingerworks/gateway/read_retry.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from gingerworks.gateway.system_errors import SHORTAGE_PAUSE_S
+from gingerworks.gateway.system_errors import SHORTAGE_RETRY_DELAY_S
 
 
 def retry_read_later(
@@ -20,7 +20,7 @@
     Guards against a spin: a socket counts as readable while this host has no buffers to read it.
     """
     loop.remove_reader(sock.fileno())
-    loop.call_later(SHORTAGE_PAUSE_S, retry_read, loop, sock, readable, held)
+    loop.call_later(SHORTAGE_RETRY_DELAY_S, retry_read, loop, sock, readable, held)
 
 
 def retry_read(
--- a/gingerworks/gateway/system_errors.py
+++ b/gingerworks/gateway/system_errors.py
@@ -11,16 +11,16 @@
 # This process, or this host, has no descriptor left.  Closing a connection that rests gives one back.
 DESCRIPTOR_SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE})
 # This host is short of something for a moment; no peer has a part in it.
-SHORTAGE = DESCRIPTOR_SHORTAGE | {errno.ENOBUFS, errno.ENOMEM}
+RESOURCE_SHORTAGE = DESCRIPTOR_SHORTAGE | {errno.ENOBUFS, errno.ENOMEM}
 
-SHORTAGE_PAUSE_S = 0.01  # before a read or write is tried again for which this host had no buffers
+SHORTAGE_RETRY_DELAY_S = 0.01  # before a read or write is tried again for which this host had no buffers
 
 # The call has done nothing, and the same call may succeed later on the same connection.
-TRY_AGAIN = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
+RETRYABLE = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
 # accept(2): errors of the connection that was to be accepted, not of the listener.  That one is gone and
 # others may wait behind it, so they are treated "like EAGAIN by retrying".
-NOT_ACCEPTED = frozenset(
+CONNECTION_NOT_ACCEPTED = frozenset(
     {
         errno.ECONNABORTED,
         errno.EHOSTDOWN,
@@ -38,7 +38,7 @@
 )
 
 # connect(2): nothing was sent, or a firewall of this host let nothing out.
-DIAL_SHORTAGE = SHORTAGE | {
+LOCAL_CONNECT_ERRORS = RESOURCE_SHORTAGE | {
     errno.EACCES,
     errno.EADDRINUSE,
     errno.EADDRNOTAVAIL,
@@ -48,7 +48,7 @@
 # As the result of ``connect`` itself: this host has no route out.  Told later, through SO_ERROR, a router on
 # the way has said so, which tells of the path to that peer alone.  EHOSTUNREACH and ETIMEDOUT always do: what
 # a router or the neighbour table says, and the lack of any answer, concern one address.
-NO_ROUTE = frozenset({errno.ENETDOWN, errno.ENETUNREACH})
+NO_LOCAL_ROUTE = frozenset({errno.ENETDOWN, errno.ENETUNREACH})
 
 _ADVICE = {
     errno.EMFILE: "raise this process's open files limit (ulimit -n) to limits.sockets, or lower that",
@@ -65,7 +65,7 @@
 }
 
 
-def explain(code: int) -> str:
+def describe_error(code: int) -> str:
     """The error in words, with what an operator can do where that is known."""
     text = f"[Errno {code}] {os.strerror(code)}"
     advice = _ADVICE.get(code)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -442,7 +442,7 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Each turn of the loop tried anew, with all of a core, until the attempt's time was over.
-    monkeypatch.setattr(read_retry, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -466,7 +466,7 @@
 def test_a_lasting_want_of_buffers_for_the_counters_answers_is_met_by_pauses(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(read_retry, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
@@ -799,7 +799,7 @@
 
 
 def test_a_lasting_want_of_buffers_at_the_counter_is_met_by_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_module, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(counter_module, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.SEND, errno.ENOBUFS, times=FOR_GOOD))
