--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from gingerworks.gateway.config import Address
-from gingerworks.gateway.system_errors import DIAL_SHORTAGE, NO_ROUTE, explain
+from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
 # Interrupted by a signal, a connection goes on coming up all the same (connect(2)).
 UNDER_WAY = (0, errno.EINPROGRESS, errno.EINTR)
@@ -34,7 +34,7 @@
     @classmethod
     def from_errno(cls, failure: DialFailure, code: int) -> DialError:
         """The failure of a system call."""
-        return cls(failure, explain(code), code)
+        return cls(failure, describe_error(code), code)
 
 
 class Dial:
@@ -44,21 +44,21 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        seconds: float,
-        done: Callable[[socket.socket], None],
-        failed: Callable[[DialError], None],
+        timeout_s: float,
+        on_connected: Callable[[socket.socket], None],
+        on_failed: Callable[[DialError], None],
     ) -> None:
         """Begin at once; an error that shows right away raises ``DialError``."""
         self._loop = loop
-        self._done = done
-        self._failed = failed
+        self._on_connected = on_connected
+        self._on_failed = on_failed
         self._socket = _begin(address)
         try:
-            loop.add_writer(self._socket.fileno(), self._writable)
+            loop.add_writer(self._socket.fileno(), self._on_writable)
         except OSError as fault:
             self._socket.close()
             raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
-        self._timer = loop.call_later(seconds, self._time_over)
+        self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
         """Give it up; neither callback is called any more."""
@@ -69,24 +69,24 @@
         self._timer.cancel()
         self._loop.remove_writer(self._socket.fileno())
 
-    def _time_over(self) -> None:
+    def _on_timeout(self) -> None:
         self._fail(DialError(DialFailure.UNREACHABLE, "it did not come up in time"))
 
     def _fail(self, error: DialError) -> None:
         self.cancel()
-        self._failed(error)
+        self._on_failed(error)
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         try:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as fault:
             # Whether it came up is not known; nothing has been sent on it.
             return self._fail(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
         if code:
-            failure = DialFailure.LOCAL if code in DIAL_SHORTAGE else DialFailure.UNREACHABLE
+            failure = DialFailure.LOCAL if code in LOCAL_CONNECT_ERRORS else DialFailure.UNREACHABLE
             return self._fail(DialError.from_errno(failure, code))
         self._stop()
-        return self._done(self._socket)
+        return self._on_connected(self._socket)
 
 
 def _begin(address: Address) -> socket.socket:
@@ -105,5 +105,5 @@
     if code in UNDER_WAY:
         return sock
     sock.close()
-    local = code in DIAL_SHORTAGE or code in NO_ROUTE
+    local = code in LOCAL_CONNECT_ERRORS or code in NO_LOCAL_ROUTE
     raise DialError.from_errno(DialFailure.LOCAL if local else DialFailure.UNREACHABLE, code)
