--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -15,7 +15,7 @@
 from gingerworks.policy.clock_sync import EPOCHS_IN_LAP, ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
-from gingerworks.policy.in_flight import InFlight
+from gingerworks.policy.in_flight import InFlightRequest
 from gingerworks.policy.speculative_admission import BUSY_DEMAND, Headroom, PassRate, headroom_of
 
 CREDIT = 0.25  # of the burst: unused refill beyond a full store that is let stand in the shared count
@@ -91,7 +91,7 @@
         self.last = self.read_at = self.seen_at = now
         self.scheduled = self.dry = False
         self.heard = True
-        self.waiting: list[InFlight[Customer]] = []
+        self.waiting: list[InFlightRequest[Customer]] = []
         self.call: Call | None = None
 
     def slice(self, now: int) -> float:
@@ -203,7 +203,7 @@
             self.excess_since = now
         return self.gap.cap - before if now - self.excess_since >= self.repair_ns else 0.0
 
-    def reading(self, call: Call, level: float, now: int) -> list[tuple[InFlight[Customer], bool]]:
+    def reading(self, call: Call, level: float, now: int) -> list[tuple[InFlightRequest[Customer], bool]]:
         """Learn from the shared count what the store lacks; says which of the requests held it covers."""
         since = self.plan.rate * (now - call.began) / SECOND
         level -= self.undo_repair(call, level - call.amount - since)
@@ -268,7 +268,7 @@
         self.amount = self.told + self.repair + sum(amount for _, amount in self.held)
 
     @staticmethod
-    def _added_first(inflight: InFlight[Customer]) -> float:
+    def _added_first(inflight: InFlightRequest[Customer]) -> float:
         likely = inflight.uncertainty is None or inflight.uncertainty.chance >= LIKELY
         return inflight.request.units if likely else 0.0
 
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -11,7 +11,7 @@
 from gingerworks.policy.constants import OVERDUE_MEANS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.customer import Customer
 from gingerworks.policy.gap_counter import GapCounter
-from gingerworks.policy.in_flight import Attempt, InFlight
+from gingerworks.policy.in_flight import Attempt, InFlightRequest
 from gingerworks.policy.load_shedding import LoadShedder
 from gingerworks.policy.quotas import Quotas
 from gingerworks.policy.servers import Backend, Servers
@@ -40,7 +40,7 @@
         self.servers = Servers(settings, self.rng, now)
         self.shedder = LoadShedder(settings, now)
         self.retry_budget = GapCounter(RETRY_BURST, RETRY_BURST, 0.0)
-        self.in_flight: dict[int, InFlight[Customer]] = {}
+        self.in_flight: dict[int, InFlightRequest[Customer]] = {}
         self.held_calls: dict[str, Customer] = {}
         self.scheduled: list[tuple[int, int, Callable[[], None]]] = []
         self.reported_states: set[str] = set()
@@ -127,12 +127,12 @@
                 inflight.deadline_ns = answers_due_ns
                 self._plan_finish(inflight)
 
-    def _plan_finish(self, inflight: InFlight[Customer]) -> None:
+    def _plan_finish(self, inflight: InFlightRequest[Customer]) -> None:
         """See to it that a request has its answer a tick before its deadline."""
         due = max(self.now, inflight.deadline_ns - self.settings.tick_ns)
         self.schedule(due, lambda: self.finish(inflight))
 
-    def _shutdown_comes_first(self, inflight: InFlight[Customer]) -> bool:
+    def _shutdown_comes_first(self, inflight: InFlightRequest[Customer]) -> bool:
         """Whether the shutdown leaves a request less time than an answer worth waiting for may take.
 
         Another gateway can still answer it within its aim, if it is refused at once.
@@ -168,7 +168,7 @@
             self.schedule_report(customer)
         return None
 
-    def _begin(self, request: interface.Request) -> InFlight[Customer]:
+    def _begin(self, request: interface.Request) -> InFlightRequest[Customer]:
         """Check a new request and put it among those in flight; ``ValueError`` for a caller's fault."""
         if request.id in self.in_flight:
             raise ValueError(f"request {request.id} was already given")
@@ -178,18 +178,18 @@
             self.request_classes[request.class_name],
             self.quotas.customer(request, self.now),
         )
-        inflight = self.in_flight[request.id] = InFlight(request, request_class, customer, self.now)
+        inflight = self.in_flight[request.id] = InFlightRequest(request, request_class, customer, self.now)
         if self.shutdown_deadline_ns is not None:
             inflight.deadline_ns = min(inflight.deadline_ns, self.shutdown_deadline_ns)
         return inflight
 
-    def _sheds(self, inflight: InFlight[Customer]) -> bool:
+    def _sheds(self, inflight: InFlightRequest[Customer]) -> bool:
         """Whether load shedding refuses this request."""
         request_class, plan, units = inflight.request_class, inflight.customer.plan, inflight.request.units
         work = self.servers.mean_answer_ns[request_class.name]
         return self.rng.random() > self.shedder.pass_probability(request_class, plan, units, work, self.now)
 
-    def admit(self, inflight: InFlight[Customer], charge: float, heard: bool = False) -> bool:
+    def admit(self, inflight: InFlightRequest[Customer], charge: float, heard: bool = False) -> bool:
         """Send on a request, or refuse it for want of a server; ``heard``: a reading has booked it."""
         customer, units = inflight.customer, inflight.request.units
         backend = self.choose_backend(inflight)
@@ -230,7 +230,7 @@
         elif customer.pending > 0 or (customer.heard and customer.pending < 0):
             self.schedule_report(customer)
 
-    def _decide(self, inflight: InFlight[Customer], covered: bool) -> None:
+    def _decide(self, inflight: InFlightRequest[Customer], covered: bool) -> None:
         """Let in or refuse a request after the answer about it has come, or its time is over."""
         customer, units = inflight.customer, inflight.request.units
         if customer.heard:
@@ -293,7 +293,7 @@
         else:
             self._plan_clock_sync()
 
-    def choose_backend(self, inflight: InFlight[Customer]) -> Backend | None:
+    def choose_backend(self, inflight: InFlightRequest[Customer]) -> Backend | None:
         """A server for the next attempt, if the rules leave one."""
         limits = self.settings.limits
         if len(inflight.attempts) >= limits.attempts or (
@@ -308,7 +308,7 @@
             self.now, self.servers.mean_answer_ns[inflight.request_class.name], allowed, tried
         )
 
-    def start_attempt(self, inflight: InFlight[Customer], backend: Backend) -> None:
+    def start_attempt(self, inflight: InFlightRequest[Customer], backend: Backend) -> None:
         """Begin an attempt and watch over it."""
         mean = self.servers.mean_answer_ns[inflight.request_class.name]
         self.servers.attempt_started(backend, self.now)
@@ -320,7 +320,7 @@
         if patience < left:
             self.schedule(self.now + patience, lambda: self.handle_overdue(inflight))
 
-    def handle_overdue(self, inflight: InFlight[Customer]) -> None:
+    def handle_overdue(self, inflight: InFlightRequest[Customer]) -> None:
         """An answer is late: hedge, or cancel the attempt and try elsewhere, within the retry budget."""
         if inflight.closed or inflight.streaming:
             return
@@ -344,7 +344,7 @@
             self.retry_budget.adjust(-1.0)
             self.actions.append(interface.CancelAttempt(inflight.request.id, len(inflight.attempts) - 1))
 
-    def _stop_counting_late(self, inflight: InFlight[Customer]) -> None:
+    def _stop_counting_late(self, inflight: InFlightRequest[Customer]) -> None:
         """Late attempts may be lost: they count as load no longer."""
         for attempt in inflight.attempts:
             if attempt.in_flight and attempt.counts_as_load and attempt.sent_ns < self.now:
@@ -382,14 +382,14 @@
         elif outcome.status not in (interface.Status.EXPIRED, interface.Status.UNUSED):
             self.shedder.time_allowed_ns += target
 
-    def _settle_units(self, inflight: InFlight[Customer], outcome: interface.Outcome) -> None:
+    def _settle_units(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
         """Charge the difference between the units billed and those first asked for."""
         if outcome.billed is not None and inflight.customer.plan.rate > 0:
             more = outcome.billed - inflight.request.units
             inflight.customer.gap.adjust(-more)
             inflight.customer.pending += more
 
-    def retry_or_finish(self, inflight: InFlight[Customer], outcome: interface.Outcome) -> None:
+    def retry_or_finish(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
         """Nothing is out any more: try once more or give the final answer."""
         # A cancelled one was paid for; one that found nobody there or never left has cost no server anything.
         free = outcome.status in (
@@ -405,7 +405,7 @@
         self.retry_budget.adjust(-cost)
         return self.start_attempt(inflight, backend)
 
-    def finish(self, inflight: InFlight[Customer]) -> None:
+    def finish(self, inflight: InFlightRequest[Customer]) -> None:
         """Give the one final answer that is owed; a stream that has begun has no deadline."""
         if inflight.closed or inflight.streaming:
             return
@@ -415,13 +415,13 @@
             self.actions.append(interface.Fail(inflight.request.id))
             self.close(inflight)
 
-    def decline(self, inflight: InFlight[Customer], after: int) -> None:
+    def decline(self, inflight: InFlightRequest[Customer], after: int) -> None:
         """Refuse for good."""
         most = self.settings.limits.max_retry_after_ns if self.settings.limits.retry_after else 0
         self.actions.append(interface.Decline(inflight.request.id, min(after or SOON_NS, most)))
         self.close(inflight)
 
-    def close(self, inflight: InFlight[Customer] | None) -> None:
+    def close(self, inflight: InFlightRequest[Customer] | None) -> None:
         """The request has ended; call off what is still out and forget it once all is in."""
         if inflight is None:
             return
--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -23,7 +23,7 @@
         self.may_have_run = True  # until an outcome proves that it did not
 
 
-class InFlight(Generic[CustomerT]):
+class InFlightRequest(Generic[CustomerT]):
     """A request taken in: its attempts, what may have run and its deadline."""
 
     def __init__(
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -13,7 +13,7 @@
 from gingerworks.policy.clock_sync import ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, REPORT_PERIOD_NS, SECOND
 from gingerworks.policy.customer import Call, Customer
-from gingerworks.policy.in_flight import InFlight
+from gingerworks.policy.in_flight import InFlightRequest
 from gingerworks.policy.speculative_admission import Headroom, SpeculativeAdmission, UncertainRequest
 
 LEAST_ASKING = 0.1  # of doubtful requests: so many still ask a counter that does not answer
@@ -50,7 +50,7 @@
         customer.seen_at = now
         return customer
 
-    def verdict(self, inflight: InFlight[Customer], now: int) -> bool | None:
+    def verdict(self, inflight: InFlightRequest[Customer], now: int) -> bool | None:
         """Whether the allowance covers a request; none: that takes a reading of the shared count."""
         customer, units = inflight.customer, inflight.request.units
         gap, counter = customer.gap, self.settings.has_counter
@@ -63,21 +63,21 @@
             return None
         return self.guess(inflight, now)
 
-    def asks(self, inflight: InFlight[Customer], room: Headroom, now: int) -> bool:
+    def asks(self, inflight: InFlightRequest[Customer], room: Headroom, now: int) -> bool:
         """Whether to take a reading for a doubtful request: the dearest first while the counter is late."""
         if not self.settings.has_counter:
             return False
         inflight.uncertainty = doubt = self.assess(inflight, room)
         return not self.clock.suspends_counts(now) and self.speculation.should_read(doubt, self.asking)
 
-    def assess(self, inflight: InFlight[Customer], room: Headroom) -> UncertainRequest:
+    def assess(self, inflight: InFlightRequest[Customer], room: Headroom) -> UncertainRequest:
         """What is known of a request that the slice, or the part of a ceiling, does not cover."""
         customer, is_retry = inflight.customer, inflight.request.is_retry
         plan = customer.plan
         chance = self.speculation.chance(plan.name, is_retry, room, customer.pass_rate)
         return UncertainRequest(plan.name, is_retry, room, chance, self.worth(inflight), plan.overrun_cost)
 
-    def guess(self, inflight: InFlight[Customer], now: int) -> bool:
+    def guess(self, inflight: InFlightRequest[Customer], now: int) -> bool:
         """Whether to let in a doubtful request unasked; by the even split while the counter is away."""
         customer, units, doubt = inflight.customer, inflight.request.units, inflight.uncertainty
         silent = now - self.answered_at > SILENT_NS and not self.clock.suspends_counts(now)
@@ -85,16 +85,16 @@
             return customer.guess(units)
         return (doubt.is_worthwhile and customer.floor_covers(units)) or self.speculation.admits(doubt)
 
-    def worth(self, inflight: InFlight[Customer]) -> float:
+    def worth(self, inflight: InFlightRequest[Customer]) -> float:
         """What serving a request inside its quota is worth."""
         return inflight.request_class.worth * inflight.customer.plan.price * inflight.request.units
 
-    def sent(self, inflight: InFlight[Customer], now: int) -> None:
+    def sent(self, inflight: InFlightRequest[Customer], now: int) -> None:
         """Note that a request was sent on for the first time."""
         inflight.customer.sent(inflight.request.units, now)
         self.speculation.record_sent(self.worth(inflight))
 
-    def learn(self, inflight: InFlight[Customer], passed: bool) -> None:
+    def learn(self, inflight: InFlightRequest[Customer], passed: bool) -> None:
         """Note whether a reading let a doubtful request pass."""
         if inflight.uncertainty is not None:
             self.speculation.learn(inflight.uncertainty, inflight.customer.pass_rate, passed)
@@ -145,7 +145,7 @@
 
     def counted(
         self, answer: interface.Counted, now: int
-    ) -> tuple[Customer, list[tuple[InFlight[Customer], bool]]] | None:
+    ) -> tuple[Customer, list[tuple[InFlightRequest[Customer], bool]]] | None:
         """Take in an answer: whose it is, and for each request held for it whether it is let in."""
         call = self.calls.pop(answer.count, None)
         if call is None:
