--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -63,7 +63,7 @@
         """
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(watch.settled.wait(), FIRST_LIST_S)
-        self.frontend.accept()
+        self.frontend.start_accepting()
 
     def _follow(self, discovery: Address, index: int) -> Watch:
         if self._watch is not None:
@@ -91,7 +91,7 @@
             self.runtime.count_at(config.counter)
 
     async def ended(self) -> None:
-        """Wait for the graceful end that ``frontend.end`` begins, then let go of all."""
+        """Wait for the graceful end that ``frontend.begin_shutdown`` begins, then let go of all."""
         await self.frontend.finished.wait()
         for task in (self._watch, self._opening):
             if task is not None:
@@ -105,7 +105,7 @@
     loop = asyncio.get_running_loop()
     gateway = Gateway(loop, config)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, gateway.frontend.end)
+        loop.add_signal_handler(number, gateway.frontend.begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
     gateway.start()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came since ``main`` is handled now
--- a/gingerworks/gateway/client_table.py
+++ b/gingerworks/gateway/client_table.py
@@ -8,8 +8,10 @@
 from gingerworks.gateway import clock
 from gingerworks.gateway.client import ClientConnection
 
-EVICT_AT_ONCE = 8
-GRACE_NS = 50 * clock.NS_PER_MS  # for a new client to ask, or one that leaves to read why, when room is short
+EVICTIONS_PER_ROUND = 8
+EVICTION_GRACE_NS = (
+    50 * clock.NS_PER_MS
+)  # for a new client to ask, or one that leaves to read why, when room is short
 
 
 class ClientTable:
@@ -20,7 +22,7 @@
         self.open: set[ClientConnection] = set()
         self.new: dict[ClientConnection, None] = {}  # they have not asked yet
         self.idle: dict[ClientConnection, None] = {}  # between requests
-        self.leaving: dict[ClientConnection, None] = {}  # told the last that they will be told
+        self.closing: dict[ClientConnection, None] = {}  # told the last that they will be told
         self.evicted: set[ClientConnection] = set()  # closed for room, and not ended yet
 
     @property
@@ -33,36 +35,36 @@
         self.open.add(client)
         self.new[client] = None
 
-    def busy(self, client: ClientConnection) -> None:
+    def request_started(self, client: ClientConnection) -> None:
         """A request is being handled there."""
         self.new.pop(client, None)
         self.idle.pop(client, None)
 
-    def forget(self, client: ClientConnection) -> None:
+    def remove(self, client: ClientConnection) -> None:
         """The connection is no more."""
         self.open.discard(client)
         self.evicted.discard(client)
-        self._leave_states(client)
+        self._remove_from_states(client)
 
-    def _leave_states(self, client: ClientConnection) -> None:
-        for state in (self.new, self.idle, self.leaving):
+    def _remove_from_states(self, client: ClientConnection) -> None:
+        for state in (self.new, self.idle, self.closing):
             state.pop(client, None)
 
-    def serves_none(self) -> bool:
+    def no_request_pending(self) -> bool:
         """Whether no connection holds a whole request that has no answer yet."""
-        return not any(client.number or client.ready for client in self.open)
+        return not any(client.request_id or client.pending for client in self.open)
 
     def close_idle(self) -> None:
         """Close those between requests, and those that have not asked."""
         for client in [*self.new, *self.idle]:
             # Guards against closing on a request that has come but was not read yet: it counts as taken.
-            if client.transport is not None and client.asks_nothing() and not client.unread():
+            if client.transport is not None and client.has_no_request() and not client.has_unread_input():
                 client.transport.close()
 
-    def refuse_unfinished(self) -> None:
+    def reject_incomplete(self) -> None:
         """Refuse the requests that have not come whole."""
         for client in list(self.open):
-            client.refuse_unfinished()
+            client.reject_incomplete()
 
     def make_room(self) -> None:
         """Close connections, those first that matter least.
@@ -74,18 +76,18 @@
         """
         if self.evicted:
             return  # there will be room as soon as these have ended
-        before = clock.now() - GRACE_NS
-        if self._evict(client for client in self.leaving if client.since <= before):
+        before = clock.now() - EVICTION_GRACE_NS
+        if self._evict(client for client in self.closing if client.state_since_ns <= before):
             return
-        silent = [client for client in self.new if not client.reading]
-        if self._evict(client for client in silent if client.since <= before):
+        silent = [client for client in self.new if not client.receiving]
+        if self._evict(client for client in silent if client.state_since_ns <= before):
             return
-        if 2 * len(silent) > self.budget or self._evict(client for client in self.idle if client.rests()):
+        if 2 * len(silent) > self.budget or self._evict(client for client in self.idle if client.is_idle()):
             return
         self._evict(
             client
             for client in [*self.new, *self.idle]
-            if client.reading and not client.unsent() and client.since <= before
+            if client.receiving and not client.has_unsent_output() and client.state_since_ns <= before
         )
 
     def _evict(self, candidates: Iterable[ClientConnection]) -> bool:
@@ -95,10 +97,10 @@
         that cannot end yet, as it was accepted but is not attached: nobody else would go meanwhile.
         """
         attached = (client for client in candidates if client.transport is not None)
-        owed_nothing = (client for client in attached if not client.ready and not client.unread())
-        chosen = list(islice(owed_nothing, EVICT_AT_ONCE))
+        owed_nothing = (client for client in attached if not client.pending and not client.has_unread_input())
+        chosen = list(islice(owed_nothing, EVICTIONS_PER_ROUND))
         for client in chosen:
-            self._leave_states(client)
+            self._remove_from_states(client)
             self.evicted.add(client)
             assert client.transport is not None
             client.transport.abort()
--- a/gingerworks/gateway/connection_owner.py
+++ b/gingerworks/gateway/connection_owner.py
@@ -18,43 +18,43 @@
         """The event loop of all connections."""
 
     @property
-    def buffer(self) -> memoryview:
+    def read_buffer(self) -> memoryview:
         """Where a connection reads to; shared by all, so what is in it has to be parsed at once."""
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether the graceful end has begun."""
 
     @property
-    def backlog_empty_at(self) -> int:
+    def backlog_empty_at_ns(self) -> int:
         """When nobody was last found waiting to be accepted."""
 
-    def attached(self) -> None:
+    def connection_attached(self) -> None:
         """A connection that was accepted can be read now."""
 
-    def busy(self, client: Connection) -> None:
+    def request_started(self, client: Connection) -> None:
         """A request is being handled on this connection."""
 
-    def rest(self, client: Connection) -> None:
+    def connection_idle(self, client: Connection) -> None:
         """Nothing is held on this connection; it stays open for the next request."""
 
-    def leave(self, client: Connection) -> None:
+    def connection_closing(self, client: Connection) -> None:
         """This connection was told the last that it will be told."""
 
-    def forget(self, client: Connection) -> None:
+    def connection_closed(self, client: Connection) -> None:
         """This connection is no more."""
 
-    def take(self, client: Connection, message: Message) -> int | None:
+    def submit_request(self, client: Connection, message: Message) -> int | None:
         """Check a request and hand it over.
 
-        Returns its number, or none for a health check; raises ``Refusal`` where it is malformed.
+        Returns its number, or none for a health check; raises ``RequestRejected`` where it is malformed.
         """
 
-    def cancelled(self, number: int) -> None:
+    def request_cancelled(self, number: int) -> None:
         """The client has left before request ``number`` was answered."""
 
-    def store(self, size: int) -> bool:
+    def reserve_body_bytes(self, size: int) -> bool:
         """Count ``size`` more bytes of bodies that are held; false where that would be too many."""
 
-    def reads_on(self) -> bool:
+    def keeps_reading(self) -> bool:
         """While ending: whether what a connection still holds is waited for."""
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -14,19 +14,19 @@
 from gingerworks.gateway.client import ClientConnection
 from gingerworks.gateway.client_table import ClientTable
 from gingerworks.gateway.config import Address
-from gingerworks.gateway.requests import Checks, Message, Refusal
+from gingerworks.gateway.requests import Message, RequestRejected, RequestValidator
 from gingerworks.gateway.runtime import Runtime
 from gingerworks.gateway.shutdown import GracefulShutdown, ShutdownPhase
 from gingerworks.gateway.system_errors import NOT_ACCEPTED, SHORTAGE, explain
 
-HEALTH = b"/_health"
+HEALTH_PATH = b"/_health"
 BACKLOG = 4096
-READ_BYTES = 16 * 1024  # at a time, from one client
-BODIES_BYTES = 8 << 20  # of all requests that are read or held
-ACCEPT_AT_ONCE = 64
+READ_BUFFER_BYTES = 16 * 1024  # at a time, from one client
+MAX_HELD_BODY_BYTES = 8 << 20  # of all requests that are read or held
+ACCEPTS_PER_TURN = 64
 ACCEPT_PAUSE_S = 0.02
-CHECK_S = 0.2  # between looks for clients that have been silent for too long
-UNFINISHED_S = 0.5  # at shutdown: for clients to finish a request that they have begun to send
+TIMEOUT_CHECK_INTERVAL_S = 0.2  # between looks for clients that have been silent for too long
+INCOMPLETE_REQUEST_WAIT_S = 0.5  # at shutdown: for clients to finish a request that they have begun to send
 
 log = logging.getLogger(__name__)
 
@@ -41,18 +41,20 @@
         self.loop = loop
         self.runtime = runtime
         self.finished = asyncio.Event()
-        self.buffer = memoryview(bytearray(READ_BYTES))  # shared: what is in it is parsed at once
-        self._checks = Checks(settings)
-        self._stored = 0
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))  # shared: what is in it is parsed at once
+        self._validator = RequestValidator(settings)
+        self._held_body_bytes = 0
         self.clients = ClientTable(budget)
-        self._check: asyncio.TimerHandle | None = None
-        self._accepting: set[asyncio.Task[Any]] = set()
+        self._timeout_check: asyncio.TimerHandle | None = None
+        self._attaching: set[asyncio.Task[Any]] = set()
         self._listener: socket.socket | None = None
-        self._reading = False
-        self.backlog_empty_at = clock.now()
-        self._accept_fault = 0  # the errno that the operator was told of last; none since one was accepted
+        self._listener_watched = False
+        self.backlog_empty_at_ns = clock.now()
+        self._last_accept_errno = (
+            0  # the errno that the operator was told of last; none since one was accepted
+        )
         self._shutdown = GracefulShutdown(settings.classes)
-        self._refuse_unfinished: asyncio.TimerHandle | None = None
+        self._reject_incomplete_timer: asyncio.TimerHandle | None = None
 
     def listen(self, address: Address) -> None:
         """Listen on this address only; who connects stays in the backlog until ``accept``."""
@@ -63,9 +65,9 @@
         listener.listen(BACKLOG)
         self._listener = listener
 
-    def accept(self) -> None:
+    def start_accepting(self) -> None:
         """Begin to take in who connects."""
-        self._resume()
+        self._watch_listener()
 
     @property
     def address(self) -> Address:
@@ -74,30 +76,30 @@
         host, port = self._listener.getsockname()[:2]
         return host, port
 
-    def _resume(self) -> None:
-        if self._listener is not None and not self._reading:
+    def _watch_listener(self) -> None:
+        if self._listener is not None and not self._listener_watched:
             try:
-                self.loop.add_reader(self._listener.fileno(), self._acceptable)
+                self.loop.add_reader(self._listener.fileno(), self._listener_readable)
             except OSError as fault:
                 # Guards against a loop that is short for a moment never hearing of newcomers again.
-                self._tell_accept_fault(fault.errno or 0)
-                self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
+                self._log_accept_error(fault.errno or 0)
+                self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
                 return
-            self._reading = True
+            self._listener_watched = True
 
-    def _pause(self) -> None:
-        if self._listener is not None and self._reading:
-            self._reading = False
+    def _unwatch_listener(self) -> None:
+        if self._listener is not None and self._listener_watched:
+            self._listener_watched = False
             self.loop.remove_reader(self._listener.fileno())
 
-    def _acceptable(self) -> None:
+    def _listener_readable(self) -> None:
         began = clock.now()
-        if self._accept():
-            self.backlog_empty_at = began
+        if self._accept_batch():
+            self.backlog_empty_at_ns = began
 
-    def _accept(self) -> bool:
+    def _accept_batch(self) -> bool:
         """Take in who waits, so many at once; whether nobody waits any more."""
-        for _ in range(ACCEPT_AT_ONCE):
+        for _ in range(ACCEPTS_PER_TURN):
             if self._listener is None:
                 return True
             if self.clients.full:
@@ -109,30 +111,30 @@
             except OSError as fault:
                 if fault.errno in NOT_ACCEPTED:
                     continue  # that connection is gone; others may wait behind it
-                return self._cannot_accept(fault.errno or 0)
-            self._accept_fault = 0
-            self._begin(sock)
+                return self._accept_failed(fault.errno or 0)
+            self._last_accept_errno = 0
+            self._add_client(sock)
         return False
 
-    def _cannot_accept(self, code: int) -> bool:
+    def _accept_failed(self, code: int) -> bool:
         """Who waits stays in the backlog meanwhile; whether nobody does.
 
         Only a shortage is met by making room: any other fault of the listener is no client's.
         """
-        self._tell_accept_fault(code)
+        self._log_accept_error(code)
         if code in SHORTAGE:
             self.clients.make_room()
         self._pause_accepting()
         # accept(2) takes a descriptor before it looks whether anybody waits: the error does not tell.
-        return not self._somebody_waits()
+        return not self._backlog_has_connections()
 
-    def _tell_accept_fault(self, code: int) -> None:
+    def _log_accept_error(self, code: int) -> None:
         """One line for each trouble, however many times it is met."""
-        if code != self._accept_fault:
-            self._accept_fault = code
+        if code != self._last_accept_errno:
+            self._last_accept_errno = code
             log.warning("accept: %s", explain(code))
 
-    def _somebody_waits(self) -> bool:
+    def _backlog_has_connections(self) -> bool:
         assert self._listener is not None
         backlog = select.poll()
         backlog.register(self._listener, select.POLLIN)
@@ -141,25 +143,25 @@
         except OSError:
             return True  # not known
 
-    def _begin(self, sock: socket.socket) -> None:
+    def _add_client(self, sock: socket.socket) -> None:
         _prepare(sock)
         client = ClientConnection(self, sock)
         self.clients.add(client)
-        self._shutdown.accepted(client.since)
-        if self._check is None:
-            self._check = self.loop.call_later(CHECK_S, self._check_times)
-        self._start(client, self.loop.connect_accepted_socket(lambda: client, sock))
+        self._shutdown.connection_accepted(client.state_since_ns)
+        if self._timeout_check is None:
+            self._timeout_check = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
+        self._attach(client, self.loop.connect_accepted_socket(lambda: client, sock))
 
-    def _start(self, client: ClientConnection, opening: Coroutine[Any, Any, Any]) -> None:
+    def _attach(self, client: ClientConnection, opening: Coroutine[Any, Any, Any]) -> None:
         task = self.loop.create_task(opening)
-        self._accepting.add(task)
+        self._attaching.add(task)
 
         def done(task: asyncio.Task[Any]) -> None:
-            self._accepting.discard(task)
+            self._attaching.discard(task)
             if not task.cancelled() and task.exception() is not None:
                 log.info("a connection ended at once: %s", task.exception())
                 client.socket.close()
-                self.forget(client)
+                self.connection_closed(client)
 
         task.add_done_callback(done)
 
@@ -170,130 +172,134 @@
         return False
 
     def _pause_accepting(self) -> None:
-        self._pause()  # until one has ended, or there may be one to close
-        self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
+        self._unwatch_listener()  # until one has ended, or there may be one to close
+        self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
 
-    def _check_times(self) -> None:
-        self._check, now = None, clock.now()
+    def _check_timeouts(self) -> None:
+        self._timeout_check, now = None, clock.now()
         for client in list(self.clients.open):
-            client.check_time(now)
+            client.check_timeouts(now)
         if self.clients.open:
-            self._check = self.loop.call_later(CHECK_S, self._check_times)
+            self._timeout_check = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
-    def busy(self, client: ClientConnection) -> None:
+    def request_started(self, client: ClientConnection) -> None:
         """A request is being handled there."""
-        self.clients.busy(client)
+        self.clients.request_started(client)
 
-    def rest(self, client: ClientConnection) -> None:
+    def connection_idle(self, client: ClientConnection) -> None:
         """Nothing is held there."""
         self.clients.idle[client] = None
 
-    def leave(self, client: ClientConnection) -> None:
+    def connection_closing(self, client: ClientConnection) -> None:
         """It was told the last that it will be told."""
-        self.clients.leaving[client] = None
+        self.clients.closing[client] = None
 
-    def forget(self, client: ClientConnection) -> None:
+    def connection_closed(self, client: ClientConnection) -> None:
         """The connection is no more."""
-        self.clients.forget(client)
-        if self.ending:
-            self._check_end()
+        self.clients.remove(client)
+        if self.shutting_down:
+            self._check_drained()
         if not self.clients.full:
-            self._resume()
+            self._watch_listener()
 
-    def take(self, client: ClientConnection, message: Message) -> int | None:
+    def submit_request(self, client: ClientConnection, message: Message) -> int | None:
         """Check a request and hand it over; none: it asked for our health."""
-        if message.target == HEALTH:
+        if message.target == HEALTH_PATH:
             if message.method != b"GET":
-                raise Refusal(405, "GET only")
+                raise RequestRejected(405, "GET only")
             return None
-        request = self._checks.request(message)
-        return self.runtime.taken(client, request, message.head(), message.body, message.arrived_at)
+        request = self._validator.validate(message)
+        return self.runtime.taken(
+            client, request, message.forwarded_head(), message.body, message.arrived_at_ns
+        )
 
-    def cancelled(self, number: int) -> None:
+    def request_cancelled(self, number: int) -> None:
         """The client of a request that is not answered yet has gone."""
         self.runtime.cancelled(number)
 
-    def store(self, size: int) -> bool:
+    def reserve_body_bytes(self, size: int) -> bool:
         """Count bytes of bodies that are held; false where that would be too many."""
-        if size > 0 and self._stored + size > BODIES_BYTES:
+        if size > 0 and self._held_body_bytes + size > MAX_HELD_BODY_BYTES:
             return False
-        self._stored += size
+        self._held_body_bytes += size
         return True
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether the graceful shutdown has begun."""
         return self._shutdown.started
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin the graceful shutdown: take what still comes, answer all in time, then set ``finished``."""
         if self._shutdown.started:
             return
         now = clock.now()
         schedule = self._shutdown.start(now)
         self.runtime.begin_shutdown(schedule.answers_due_ns)
-        self._resume()  # whoever waits for a start that is not over has no later one to wait for
+        self._watch_listener()  # whoever waits for a start that is not over has no later one to wait for
         self.clients.close_idle()
-        self._after(self._shutdown.accepts_for_ns(now), self._close_listener)
-        self._after(schedule.answers_due_ns - now, self._answers_due)
-        self._after(schedule.exit_due_ns - now, self._finish)
+        self._call_after_ns(self._shutdown.accept_remaining_ns(now), self._close_listener)
+        self._call_after_ns(schedule.answers_due_ns - now, self._answers_due)
+        self._call_after_ns(schedule.exit_due_ns - now, self._finish)
 
-    def _after(self, delay_ns: int, callback: Callable[[], None]) -> None:
+    def _call_after_ns(self, delay_ns: int, callback: Callable[[], None]) -> None:
         self.loop.call_later(delay_ns / clock.NS_PER_S, callback)
 
     def _close_listener(self) -> None:
         """Close the listener once new connections have ceased and nobody waits in the backlog."""
         if self._listener is None:
             return
-        wait_ns = self._shutdown.accepts_for_ns(clock.now())
+        wait_ns = self._shutdown.accept_remaining_ns(clock.now())
         if wait_ns:
-            self._after(wait_ns + clock.NS_PER_MS, self._close_listener)
+            self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
             return
-        if not self._accept():
+        if not self._accept_batch():
             # Guards against resetting those in the backlog that one turn, or a full table, does not take in.
             self.loop.call_later(ACCEPT_PAUSE_S, self._close_listener)
             return
         self._stop_listening()
-        self._check_end()
+        self._check_drained()
 
     def _stop_listening(self) -> None:
         if self._listener is not None:
-            self._pause()
+            self._unwatch_listener()
             self._listener.close()
             self._listener = None
             self._shutdown.listener_closed()
 
-    def attached(self) -> None:
+    def connection_attached(self) -> None:
         """A connection that was accepted can be read now."""
-        if self.ending:
-            self._check_end()
+        if self.shutting_down:
+            self._check_drained()
 
-    def reads_on(self) -> bool:
+    def keeps_reading(self) -> bool:
         """While ending: whether what a connection still holds is waited for."""
-        return self._shutdown.reads_on(clock.now())
+        return self._shutdown.keeps_reading(clock.now())
 
-    def _check_end(self) -> None:
+    def _check_drained(self) -> None:
         """Once the listener is closed: end as soon as nobody is left, and wait for nobody in vain."""
         if self._listener is not None:
             return
         self.clients.close_idle()
         if not self.clients.open:
             self._finish()
-        elif self._refuse_unfinished is None and self.clients.serves_none():
-            self._refuse_unfinished = self.loop.call_later(UNFINISHED_S, self._refuse_half_read)
+        elif self._reject_incomplete_timer is None and self.clients.no_request_pending():
+            self._reject_incomplete_timer = self.loop.call_later(
+                INCOMPLETE_REQUEST_WAIT_S, self._reject_incomplete
+            )
 
-    def _refuse_half_read(self) -> None:
+    def _reject_incomplete(self) -> None:
         """Guards against a client that never ends its request; what it sends on meanwhile finds an answer."""
-        self._refuse_unfinished = None
-        self.clients.refuse_unfinished()
-        self._check_end()
+        self._reject_incomplete_timer = None
+        self.clients.reject_incomplete()
+        self._check_drained()
 
     def _answers_due(self) -> None:
         """Every request has its answer by now; what comes until the exit is refused as it is read."""
         if self._shutdown.phase is ShutdownPhase.FINISHED:
             return
         self._shutdown.answers_due()
-        self.clients.refuse_unfinished()
+        self.clients.reject_incomplete()
         self.clients.close_idle()
         self.loop.call_later(ACCEPT_PAUSE_S, self._answers_due)
 
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -7,22 +7,22 @@
 from gingerworks import interface
 from gingerworks.gateway import clock, number_parsing
 
-HEAD_BYTES = 16 * 1024
-BODY_BYTES = 64 * 1024
-IDS_MOST = 50_000  # remembered; with more in their time the older half is forgotten sooner
-CUSTOMERS = 1 << 33
-LONGEST_WAIT_S = 3600.0
-VERSIONS = ("1.1", "1.0")
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_REMEMBERED_IDS = 50_000  # remembered; with more in their time the older half is forgotten sooner
+CUSTOMER_ID_LIMIT = 1 << 33
+MAX_TIME_LEFT_S = 3600.0
+HTTP_VERSIONS = ("1.1", "1.0")
 
 # Ours, or about this connection only; all else that a client sends goes on to the server.
-NOT_PASSED_ON = frozenset(
+NOT_FORWARDED = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
         b"upgrade", b"expect", b"content-length", b"x-time-left",
     )
 )  # fmt: skip
 # Guards against two meanings of one request, here and at the server.
-ONCE = frozenset(
+SINGLE_VALUED = frozenset(
     (
         b"host", b"content-length", b"transfer-encoding", b"expect", b"x-correlation-id", b"x-service-class",
         b"x-contract", b"x-time-left", b"x-metering", b"x-repeat",
@@ -33,7 +33,7 @@
 _CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
 
 
-class Refusal(Exception):
+class RequestRejected(Exception):
     """A request that is none: the status that says so, and why."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -44,138 +44,141 @@
 class Message:
     """One request as it is read."""
 
-    __slots__ = ("arrived_at", "body", "headers", "keep_alive", "method", "size", "target")
+    __slots__ = ("arrived_at_ns", "body", "head_bytes", "headers", "keep_alive", "method", "target")
 
     def __init__(self) -> None:
         self.target = b""
         self.method = b""
         self.headers: list[tuple[bytes, bytes]] = []
-        self.size = 0
+        self.head_bytes = 0
         self.body = b""
         self.keep_alive = True
-        self.arrived_at = 0  # when its last byte came
+        self.arrived_at_ns = 0  # when its last byte came
 
-    def grow(self, size: int) -> None:
+    def count_head_bytes(self, size: int) -> None:
         """Count bytes of the head."""
-        self.size += size
-        if self.size > HEAD_BYTES:
-            raise Refusal(431, "the head is too large")
+        self.head_bytes += size
+        if self.head_bytes > MAX_HEAD_BYTES:
+            raise RequestRejected(431, "the head is too large")
 
     def check_framing(self, version: str) -> None:
         """At the end of the head: whether where the body ends is plain, and within bounds.
 
         Guards against a second request hidden in a body, and against waiting for what is refused anyway.
         """
-        if version not in VERSIONS:
-            raise Refusal(400, "not HTTP/1")
-        headers = dict(self.named())
+        if version not in HTTP_VERSIONS:
+            raise RequestRejected(400, "not HTTP/1")
+        headers = dict(self.lowercase_headers())
         length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
         if coding is not None and (length is not None or coding.lower() != b"chunked"):
-            raise Refusal(400, "Transfer-Encoding: with a length, or not chunked")
+            raise RequestRejected(400, "Transfer-Encoding: with a length, or not chunked")
         if length is not None and (
-            (octets := number_parsing.parse_whole(length)) is None or octets > BODY_BYTES
+            (octets := number_parsing.parse_whole(length)) is None or octets > MAX_BODY_BYTES
         ):
-            raise Refusal(413, "the body is too large")
+            raise RequestRejected(413, "the body is too large")
 
     def has_body(self) -> bool:
         """Whether the head announces a body."""
-        headers = dict(self.named())
+        headers = dict(self.lowercase_headers())
         return headers.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in headers
 
-    def named(self) -> list[tuple[bytes, bytes]]:
-        """The headers by lower-case names; one that must not be doubled raises ``Refusal``."""
+    def lowercase_headers(self) -> list[tuple[bytes, bytes]]:
+        """The headers by lower-case names; one that must not be doubled raises ``RequestRejected``."""
         headers = [(name.lower(), value) for name, value in self.headers]
-        once = [name for name, _ in headers if name in ONCE]
+        once = [name for name, _ in headers if name in SINGLE_VALUED]
         if len(once) != len(set(once)):
-            raise Refusal(400, "a header that must not be doubled")
+            raise RequestRejected(400, "a header that must not be doubled")
         return headers
 
-    def head(self) -> bytes:
+    def forwarded_head(self) -> bytes:
         """The head as it goes on, but for the time left and the empty line."""
         lines = [b"%b %b HTTP/1.1\r\n" % (self.method, self.target)]
         lines += [
-            b"%b: %b\r\n" % (name, value) for name, value in self.headers if name.lower() not in NOT_PASSED_ON
+            b"%b: %b\r\n" % (name, value) for name, value in self.headers if name.lower() not in NOT_FORWARDED
         ]
         if self.body or self.method == b"POST":
             lines.append(b"Content-Length: %d\r\n" % len(self.body))
         return b"".join(lines)
 
 
-class Checks:
+class RequestValidator:
     """Holds requests against the settings and against the ids seen of late."""
 
     def __init__(self, settings: interface.Settings) -> None:
-        self._kinds = {kind.name.encode(): kind for kind in settings.classes}
+        self._classes = {kind.name.encode(): kind for kind in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         self._gateways = settings.gateways
         self._max_units = settings.max_units
         # Ids are kept for the longest deadline at least: by then no request with them is open any more.
-        self._keep_ns = max(kind.deadline_ns for kind in settings.classes)
-        self._ids: set[bytes] = set()
+        self._id_lifetime_ns = max(kind.deadline_ns for kind in settings.classes)
+        self._recent_ids: set[bytes] = set()
         self._older_ids: set[bytes] = set()
-        self._turned_at = clock.now()
+        self._rotated_at_ns = clock.now()
 
-    def request(self, message: Message) -> interface.Request:
-        """Translate; ``Refusal`` where it is not as the protocol wants it."""
-        headers = dict(message.named())
-        request = self._translate(message, headers)
+    def validate(self, message: Message) -> interface.Request:
+        """Translate; ``RequestRejected`` where it is not as the protocol wants it."""
+        headers = dict(message.lowercase_headers())
+        request = self._to_request(message, headers)
         correlation = headers.get(b"x-correlation-id", b"")
         if not _ID.fullmatch(correlation):
-            raise Refusal(400, "X-Correlation-Id: missing or bad")
-        self._remember(correlation)
+            raise RequestRejected(400, "X-Correlation-Id: missing or bad")
+        self._remember_id(correlation)
         return request
 
-    def _translate(self, message: Message, headers: dict[bytes, bytes]) -> interface.Request:
-        kind = self._kinds.get(headers.get(b"x-service-class", b""))
+    def _to_request(self, message: Message, headers: dict[bytes, bytes]) -> interface.Request:
+        kind = self._classes.get(headers.get(b"x-service-class", b""))
         path = message.target.partition(b"?")[0].split(b"/")
         if not _TARGET.fullmatch(message.target):
-            raise Refusal(400, "the target has characters that it must not have")
-        if len(path) != 3 or path[0] or path[1] not in self._kinds:
-            raise Refusal(404, "no such path")
+            raise RequestRejected(400, "the target has characters that it must not have")
+        if len(path) != 3 or path[0] or path[1] not in self._classes:
+            raise RequestRejected(404, "no such path")
         if kind is None or kind.name.encode() != path[1]:
-            raise Refusal(400, "X-Service-Class: not the path's")
+            raise RequestRejected(400, "X-Service-Class: not the path's")
         safe = kind.effect is interface.Effect.SAFE
         if message.method != (b"GET" if safe else b"POST"):
-            raise Refusal(405, "not this class's method")
+            raise RequestRejected(405, "not this class's method")
         if safe and message.body:
-            raise Refusal(400, "a body where there is none")
+            raise RequestRejected(400, "a body where there is none")
         plan = self._plans.get(headers.get(b"x-contract", b""))
         if plan is None:
-            raise Refusal(400, "X-Contract: unknown")
-        if not _CUSTOMER.fullmatch(path[2]) or int(path[2], 16) >= CUSTOMERS:
-            raise Refusal(400, "the customer is not 16 hex digits below 2^33")
+            raise RequestRejected(400, "X-Contract: unknown")
+        if not _CUSTOMER.fullmatch(path[2]) or int(path[2], 16) >= CUSTOMER_ID_LIMIT:
+            raise RequestRejected(400, "the customer is not 16 hex digits below 2^33")
         left = number_parsing.parse_decimal(headers.get(b"x-time-left", b""))
         if not left:
-            raise Refusal(400, "X-Time-Left: missing or bad")
-        units, spread = self._metering(headers.get(b"x-metering", b""))
+            raise RequestRejected(400, "X-Time-Left: missing or bad")
+        units, spread = self._parse_metering(headers.get(b"x-metering", b""))
         return interface.Request(
             id=0,
             class_name=kind.name,
             plan=plan,
             customer=path[2].decode().lower(),
             entries=spread,
-            ttl_ns=int(min(left, LONGEST_WAIT_S) * clock.NS_PER_S),
+            ttl_ns=int(min(left, MAX_TIME_LEFT_S) * clock.NS_PER_S),
             units=units,
             is_retry=headers.get(b"x-repeat") == b"1",
         )
 
-    def _metering(self, value: bytes) -> tuple[float, int]:
+    def _parse_metering(self, value: bytes) -> tuple[float, int]:
         parts = [part.strip().partition(b"=")[::2] for part in value.split(b",")]
         pairs = dict(parts)
         units = number_parsing.parse_decimal(pairs.get(b"units", b""))
         if len(pairs) < len(parts) or not units or units > self._max_units:
-            raise Refusal(400, "X-Metering: units")
+            raise RequestRejected(400, "X-Metering: units")
         spread, first = (number_parsing.parse_whole(pairs.get(name, b"")) for name in (b"spread", b"first"))
         if spread is None or first is None or not 1 <= spread <= self._gateways or first >= self._gateways:
-            raise Refusal(400, "X-Metering: no set of gateways")
+            raise RequestRejected(400, "X-Metering: no set of gateways")
         return units, spread
 
-    def _remember(self, correlation: bytes) -> None:
-        if correlation in self._ids or correlation in self._older_ids:
-            raise Refusal(409, "X-Correlation-Id: seen before")
+    def _remember_id(self, correlation: bytes) -> None:
+        if correlation in self._recent_ids or correlation in self._older_ids:
+            raise RequestRejected(409, "X-Correlation-Id: seen before")
         now = clock.now()
-        if now - self._turned_at >= self._keep_ns or len(self._ids) >= IDS_MOST // 2:
+        if (
+            now - self._rotated_at_ns >= self._id_lifetime_ns
+            or len(self._recent_ids) >= MAX_REMEMBERED_IDS // 2
+        ):
             # Guards against remembering without bound: two generations, each kept for its time.
-            older = self._ids if now - self._turned_at < 2 * self._keep_ns else set()
-            self._ids, self._older_ids, self._turned_at = set(), older, now
-        self._ids.add(correlation)
+            older = self._recent_ids if now - self._rotated_at_ns < 2 * self._id_lifetime_ns else set()
+            self._recent_ids, self._older_ids, self._rotated_at_ns = set(), older, now
+        self._recent_ids.add(correlation)
--- a/gingerworks/gateway/shutdown.py
+++ b/gingerworks/gateway/shutdown.py
@@ -13,12 +13,14 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 
-LONGEST_DEADLINE_NS = 3 * clock.NS_PER_S  # counted by the supervisor, however long the settings' own are
+MAX_COUNTED_DEADLINE_NS = 3 * clock.NS_PER_S  # counted by the supervisor, however long the settings' own are
 KILL_DELAY_NS = 700 * clock.NS_PER_MS  # after the longest deadline: SIGKILL comes no sooner
-HELD_UP_NS = 150 * clock.NS_PER_MS  # for so long a gateway may be held up between its clock and a write
+STALL_ALLOWANCE_NS = (
+    150 * clock.NS_PER_MS
+)  # for so long a gateway may be held up between its clock and a write
 EXIT_MARGIN_NS = 100 * clock.NS_PER_MS  # before SIGKILL: for the process to end, its sockets with it
-QUIET_NS = 600 * clock.NS_PER_MS  # without a new connection: no more will come
-ACCEPT_MOST_NS = 2 * clock.NS_PER_S  # new connections are taken in for so long at the most
+QUIET_PERIOD_NS = 600 * clock.NS_PER_MS  # without a new connection: no more will come
+MAX_ACCEPT_NS = 2 * clock.NS_PER_S  # new connections are taken in for so long at the most
 
 
 class ShutdownPhase(Enum):
@@ -43,10 +45,10 @@
     @classmethod
     def starting_at(cls, started_ns: int, classes: Iterable[interface.RequestClass]) -> ShutdownSchedule:
         """The schedule of a shutdown that starts now, for requests of these classes."""
-        longest_ns = min(LONGEST_DEADLINE_NS, max(kind.deadline_ns for kind in classes))
+        longest_ns = min(MAX_COUNTED_DEADLINE_NS, max(kind.deadline_ns for kind in classes))
         exit_due_ns = started_ns + longest_ns + KILL_DELAY_NS - EXIT_MARGIN_NS
-        answers_due_ns = exit_due_ns - HELD_UP_NS
-        accept_until_ns = min(started_ns + ACCEPT_MOST_NS, answers_due_ns)
+        answers_due_ns = exit_due_ns - STALL_ALLOWANCE_NS
+        accept_until_ns = min(started_ns + MAX_ACCEPT_NS, answers_due_ns)
         return cls(started_ns, accept_until_ns, answers_due_ns, exit_due_ns)
 
 
@@ -78,13 +80,13 @@
         self._last_accept_ns = now_ns
         return self._schedule
 
-    def accepted(self, now_ns: int) -> None:
+    def connection_accepted(self, now_ns: int) -> None:
         """A new connection was taken in."""
         self._last_accept_ns = now_ns
 
-    def accepts_for_ns(self, now_ns: int) -> int:
+    def accept_remaining_ns(self, now_ns: int) -> int:
         """How long new connections are still to be waited for; 0 once the listener may be closed."""
-        until_ns = min(self._last_accept_ns + QUIET_NS, self.schedule.accept_until_ns)
+        until_ns = min(self._last_accept_ns + QUIET_PERIOD_NS, self.schedule.accept_until_ns)
         return max(0, until_ns - now_ns)
 
     def listener_closed(self) -> None:
@@ -101,6 +103,6 @@
         """Nothing is owed to anybody any more, or the process has to end."""
         self.phase = ShutdownPhase.FINISHED
 
-    def reads_on(self, now_ns: int) -> bool:
+    def keeps_reading(self, now_ns: int) -> bool:
         """Whether further requests on a connection are waited for, if only to be refused."""
         return now_ns < self.schedule.exit_due_ns
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,7 +7,7 @@
 from gingerworks import interface
 from gingerworks.gateway.config import config_from
 from gingerworks.gateway.discovery import Change, change_from
-from gingerworks.gateway.requests import Checks
+from gingerworks.gateway.requests import RequestValidator
 from gingerworks.policy import Policy
 from tests.loopback import OK, Client, answering, ask, entry, gateway, listing, raw_config, run, until
 from tests.support import MS, outcome, request, server, started
@@ -95,8 +95,8 @@
         assert {each.endpoint.server.name for each in pools._open} <= {"s6"}
         await until(lambda: not runtime._in_flight)
         table = made.frontend.clients
-        assert not any((table.new, table.idle, table.leaving, table.evicted))
-        assert made.frontend._stored == 0
+        assert not any((table.new, table.idle, table.closing, table.evicted))
+        assert made.frontend._held_body_bytes == 0
 
     run(scenario())
 
@@ -110,10 +110,10 @@
     now = [0]
     monkeypatch.setattr("gingerworks.gateway.clock.now", lambda: now[0])
 
-    checks = Checks(config_from(raw_config()).settings)
+    validator = RequestValidator(config_from(raw_config()).settings)
     most = 0
     for n in range(2000):
         now[0] = n * 100 * MS
-        checks._remember(b"%016x" % n)
-        most = max(most, len(checks._ids) + len(checks._older_ids))
+        validator._remember_id(b"%016x" % n)
+        most = max(most, len(validator._recent_ids) + len(validator._older_ids))
     assert 40 <= most <= 2 * 40 + 2  # ten a second, for the longest deadline of 4 s and at most as long again
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -14,7 +14,7 @@
 from gingerworks.gateway import backend, clock, frontend
 from gingerworks.gateway import client as client_module
 from gingerworks.gateway.config import config_from
-from gingerworks.gateway.requests import Checks, Message, Refusal
+from gingerworks.gateway.requests import Message, RequestRejected, RequestValidator
 from tests.loopback import (
     BODY,
     OK,
@@ -186,7 +186,7 @@
 
 
 def test_ids_are_remembered_for_their_time_and_no_longer(monkeypatch: pytest.MonkeyPatch) -> None:
-    checks, at = Checks(config_from(raw_config()).settings), [clock.now()]
+    validator, at = RequestValidator(config_from(raw_config()).settings), [clock.now()]
     monkeypatch.setattr(clock, "now", lambda: at[0])
 
     def asking(number: int) -> Message:
@@ -197,11 +197,11 @@
         return message
 
     for number in range(4000):
-        checks.request(asking(number))
+        validator.validate(asking(number))
         at[0] += 10_000_000  # a hundred a second; the longest deadline of the settings is 4 s
-        with pytest.raises(Refusal):
-            checks.request(asking(max(0, number - 390)))
-    assert len(checks._ids) + len(checks._older_ids) <= 810
+        with pytest.raises(RequestRejected):
+            validator.validate(asking(max(0, number - 390)))
+    assert len(validator._recent_ids) + len(validator._older_ids) <= 810
 
 
 def test_requests_written_ahead_are_answered_in_order() -> None:
@@ -220,7 +220,7 @@
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(ask(Connection="close") + ask())
-        made.frontend.end()  # before it is read
+        made.frontend.begin_shutdown()  # before it is read
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
         assert made.runtime._serial == 1
@@ -237,7 +237,7 @@
         client = await Client.to(made)
         client.writer.write(ask() + ask("odd") + ask() + ask("odd") + ask())
         if ending:
-            made.frontend.end()  # before it is read
+            made.frontend.begin_shutdown()  # before it is read
         heads = [(await client.answer())[:2] for _ in range(5)]
         assert [status for status, _ in heads] == [200, 404, 200, 404, 200]
         assert [b"Connection: close" in head for _, head in heads] == [False] * 4 + [True]
@@ -267,11 +267,11 @@
         await until(lambda: len(server.requests) == 1)
         (connection,) = made.frontend.clients.open
         client.writer.write(b"".join(ask("post", body=b"a" * 60_000) for _ in range(300)))
-        await until(lambda: connection.paused)
+        await until(lambda: connection.reading_paused)
         for _ in range(50):
             await asyncio.sleep(0)
-        assert len(connection.ready) < 5
-        assert made.frontend._stored < 4 * 60_000
+        assert len(connection.pending) < 5
+        assert made.frontend._held_body_bytes < 4 * 60_000
 
     run(scenario())
 
@@ -279,13 +279,13 @@
 @pytest.fixture
 def hurried(monkeypatch: pytest.MonkeyPatch) -> pytest.MonkeyPatch:
     """Limits of clients' connections that a test can wait for; each is set where it is what counts."""
-    monkeypatch.setattr(frontend, "CHECK_S", 0.01)
+    monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
     return monkeypatch
 
 
 @pytest.mark.parametrize("said", [b"", ask()[:30], ask("post", Content_Length="50")])
 def test_who_never_asks_a_whole_request_is_sent_away(said: bytes, hurried: pytest.MonkeyPatch) -> None:
-    hurried.setattr(client_module, "REQUEST_NS", 100_000_000)
+    hurried.setattr(client_module, "REQUEST_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
         made = gateway()
@@ -299,7 +299,7 @@
 
 
 def test_a_client_that_asked_once_and_stays_is_closed_between_requests(hurried: pytest.MonkeyPatch) -> None:
-    hurried.setattr(client_module, "IDLE_NS", 100_000_000)
+    hurried.setattr(client_module, "IDLE_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -313,7 +313,7 @@
 
 
 def test_a_request_that_stops_half_way_on_a_used_connection_is_sent_away(hurried: pytest.MonkeyPatch) -> None:
-    hurried.setattr(client_module, "REQUEST_NS", 100_000_000)
+    hurried.setattr(client_module, "REQUEST_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -327,7 +327,7 @@
 
 
 def test_who_waits_for_an_answer_is_not_sent_away(hurried: pytest.MonkeyPatch) -> None:
-    for limit in ("REQUEST_NS", "IDLE_NS", "UNREAD_NS"):
+    for limit in ("REQUEST_TIMEOUT_NS", "IDLE_TIMEOUT_NS", "ANSWER_READ_TIMEOUT_NS"):
         hurried.setattr(client_module, limit, 1)
 
     async def scenario() -> None:
@@ -339,7 +339,7 @@
 
 
 def test_a_client_that_does_not_read_its_answer_is_given_up(hurried: pytest.MonkeyPatch) -> None:
-    hurried.setattr(client_module, "UNREAD_NS", 100_000_000)
+    hurried.setattr(client_module, "ANSWER_READ_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
         body = b"a" * 60_000
@@ -347,7 +347,7 @@
         made = gateway(server.address)
         sock = socket.create_connection(made.frontend.address)
         sock.sendall(b"".join(ask() for _ in range(300)))
-        await until(lambda: any(c.full for c in made.frontend.clients.open))
+        await until(lambda: any(c.write_blocked for c in made.frontend.clients.open))
         await until(lambda: not made.frontend.clients.open)
         sock.close()
 
@@ -403,7 +403,7 @@
 
 
 def test_bodies_held_are_bounded_over_all_clients(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(frontend, "BODIES_BYTES", 100_000)
+    monkeypatch.setattr(frontend, "MAX_HELD_BODY_BYTES", 100_000)
 
     async def scenario() -> None:
         server = await silent()
@@ -415,7 +415,7 @@
         assert status == 503
         assert b"Retry-After: " in head
         one.writer.close()
-        await until(lambda: made.frontend._stored == 0)
+        await until(lambda: made.frontend._held_body_bytes == 0)
         three = await Client.to(made)
         three.writer.write(ask("post", body=b"a" * 60_000))
         await until(lambda: len(server.requests) == 3)
@@ -569,7 +569,7 @@
         held.writer.write(ask())
         await until(lambda: len(slow.requests) == 1)
         end = asyncio.ensure_future(made.ended())
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         assert await idle.reader.read() == b""
         await asyncio.sleep(0.3)  # new connections go on coming meanwhile
         late = await Client.to(made)
@@ -598,7 +598,7 @@
         assert (await client.send(ask()))[0] == 200
         sock = client.writer.get_extra_info("socket")
         os.write(sock.fileno(), ask())  # in the gateway's kernel buffer before its loop turns again
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         assert (await client.answer())[0] == 200
 
     run(scenario())
@@ -659,8 +659,8 @@
         made = gateway()
         client = await Client.to(made)
         client.writer.write(ask()[:-2])
-        await until(lambda: any(c.reading for c in made.frontend.clients.open))
-        made.frontend.end()
+        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
+        made.frontend.begin_shutdown()
         await made.ended()
 
     run(scenario())
@@ -673,8 +673,8 @@
         client = await Client.to(made)
         request = ask()
         client.writer.write(request[:40])
-        await until(lambda: any(c.reading for c in made.frontend.clients.open))
-        made.frontend.end()
+        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
+        made.frontend.begin_shutdown()
         await asyncio.sleep(0.1)
         assert (await client.send(request[40:]))[0] == 200
 
@@ -688,7 +688,7 @@
         made = gateway(server.address)
         sock = socket.create_connection(made.frontend.address)
         sock.sendall(b"".join(ask() for _ in range(300)))
-        await until(lambda: any(c.full for c in made.frontend.clients.open))
+        await until(lambda: any(c.write_blocked for c in made.frontend.clients.open))
         (connection,) = made.frontend.clients.open
         for _ in range(20):
             await asyncio.sleep(0.002)
--- a/tests/test_gateway_crowd.py
+++ b/tests/test_gateway_crowd.py
@@ -201,9 +201,9 @@
         socks = [
             socket.create_connection(made.frontend.address) for _ in range(made.frontend.clients.budget - 1)
         ]
-        made.frontend._accept()
+        made.frontend._accept_batch()
         assert all(client.transport is None for client in made.frontend.clients.open)
-        monkeypatch.setattr(client_table, "GRACE_NS", 0)
+        monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
         made.frontend.clients.make_room()
         assert not made.frontend.clients.evicted
         await until(lambda: all(client.transport is not None for client in made.frontend.clients.open))
@@ -217,7 +217,7 @@
 
 def test_a_request_that_comes_in_pieces_outstays_those_that_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     # It was taken for one that connects and says nothing, and went before hundreds that rest.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -227,7 +227,7 @@
             assert (await client.send(ask()))[0] == 200
         slow, request = await Client.to(made), ask("post", body=b"a" * 100)
         slow.writer.write(request[:-50])
-        await until(lambda: any(client.reading for client in made.frontend.clients.open))
+        await until(lambda: any(client.receiving for client in made.frontend.clients.open))
         made.frontend.clients.make_room()
         await until(lambda: not made.frontend.clients.evicted)
         assert len(made.frontend.clients.idle) < len(resting)
@@ -240,7 +240,7 @@
 def test_half_requests_alone_do_not_shut_out_who_asks(asked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     # Want of room passed over half requests on used connections, and then over all: who asked waited for 2 s.
     # No limit on a request's time rings within the test.
-    monkeypatch.setattr("gingerworks.gateway.client.REQUEST_NS", 1 << 62)
+    monkeypatch.setattr("gingerworks.gateway.client.REQUEST_TIMEOUT_NS", 1 << 62)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -251,7 +251,7 @@
                 assert (await client.send(HEALTH))[0] == 200
         for client in halves:
             client.writer.write(ask()[:30])
-        await until(lambda: sum(client.reading for client in made.frontend.clients.open) == len(halves))
+        await until(lambda: sum(client.receiving for client in made.frontend.clients.open) == len(halves))
         for _ in range(2 * made.frontend.clients.budget):
             halves.append(client := await Client.to(made))
             assert (await client.send(ask()))[0] == 200
@@ -262,7 +262,7 @@
 
 def test_an_answer_that_is_not_read_stops_no_room_from_being_made(monkeypatch: pytest.MonkeyPatch) -> None:
     # The close waited for its client to read, and nobody else was sent away until that had lasted for 2 s.
-    monkeypatch.setattr("gingerworks.gateway.client.UNREAD_NS", 1 << 62)
+    monkeypatch.setattr("gingerworks.gateway.client.ANSWER_READ_TIMEOUT_NS", 1 << 62)
 
     async def scenario() -> None:
         body = b"a" * 60_000
@@ -272,7 +272,7 @@
             for asked in count(1):
                 deaf.sendall(ask())
                 await until(partial(rests_after, made, asked))
-                if any(client.unsent() for client in made.frontend.clients.idle):
+                if any(client.has_unsent_output() for client in made.frontend.clients.idle):
                     break
             resting = []
             for _ in range(3 * made.frontend.clients.budget):
@@ -287,7 +287,7 @@
 def test_a_request_that_has_come_as_room_is_made_is_answered(
     asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -307,7 +307,7 @@
 
 @pytest.mark.parametrize("asked", [False, True])
 def test_a_request_that_crosses_its_close_is_never_read(asked: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -341,13 +341,13 @@
         assert (await client.send(HEALTH))[0] == 200
         (taken,) = made.frontend.clients.open
         taken.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        rest = made.frontend.rest
+        rest = made.frontend.connection_idle
 
         def rests_as_room_is_made(resting: ClientConnection) -> None:
             rest(resting)
             made.frontend.clients.make_room()
 
-        monkeypatch.setattr(made.frontend, "rest", rests_as_room_is_made)
+        monkeypatch.setattr(made.frontend, "connection_idle", rests_as_room_is_made)
         status, _, got = await client.send(ask())
         assert (status, got) == (200, body)
 
--- a/tests/test_gateway_end.py
+++ b/tests/test_gateway_end.py
@@ -49,8 +49,8 @@
 
 def stop_now(made: Gateway) -> None:
     """SIGTERM, and at once the moment at which the listener would be closed."""
-    made.frontend.end()
-    made.frontend._shutdown.accepted(0)  # long ago
+    made.frontend.begin_shutdown()
+    made.frontend._shutdown.connection_accepted(0)  # long ago
     made.frontend._close_listener()
 
 
@@ -59,7 +59,7 @@
     async def scenario() -> None:
         server = await answering(OK)
         made = gateway(server.address)
-        made.frontend.accept()
+        made.frontend.start_accepting()
         socks = [connected(made, ask()) for _ in range(100)]
         stop_now(made)
         heads = [(await answered(sock)).split(b"\r\n")[0] for sock in socks]
@@ -73,7 +73,7 @@
     async def scenario() -> None:
         server, release = await holding()
         made = gateway(server.address, limits=NO_ROOM)
-        made.frontend.accept()
+        made.frontend.start_accepting()
         held = [connected(made, ask()) for _ in range(made.frontend.clients.budget)]
         await until(lambda: len(made.frontend.clients.open) == made.frontend.clients.budget)
         await until(lambda: bool(server.requests))
@@ -92,7 +92,7 @@
         server = await answering(OK)
         made = gateway(server.address)  # discovery has not answered yet: nobody is taken in
         sock = connected(made, ask())
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         assert (await answered(sock)).startswith(b"HTTP/1.1 200")
         await made.ended()
 
@@ -106,9 +106,9 @@
         client = await Client.to(made)
         client.writer.write(ask())
         await until(lambda: bool(server.requests))
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         schedule = made.frontend._shutdown.schedule
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         assert made.frontend._shutdown.schedule is schedule
         release.set()
         assert (await client.answer())[0] == 200
@@ -121,12 +121,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Without a transport it was passed over, and nobody looked again: the end waited for other bounds.
-    monkeypatch.setattr(client_module, "REQUEST_NS", 1 << 62)
-    monkeypatch.setattr(frontend, "UNFINISHED_S", 1e6)
+    monkeypatch.setattr(client_module, "REQUEST_TIMEOUT_NS", 1 << 62)
+    monkeypatch.setattr(frontend, "INCOMPLETE_REQUEST_WAIT_S", 1e6)
 
     async def scenario() -> None:
         made = gateway()
-        made.frontend.accept()
+        made.frontend.start_accepting()
         sock = connected(made, b"")
         stop_now(made)
         (client,) = made.frontend.clients.open
@@ -145,7 +145,7 @@
         client = await Client.to(made)
         client.writer.write(ask() + ask() + ask())
         await until(lambda: bool(server.requests))
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         release.set()
         heads = [(await client.answer())[:2] for _ in range(3)]
         assert [status for status, _ in heads] == [200] * 3
@@ -162,8 +162,8 @@
         made = gateway(server.address)
         client, second = await Client.to(made), ask()
         client.writer.write(ask() + second[:50])
-        await until(lambda: bool(server.requests) and any(c.reading for c in made.frontend.clients.open))
-        made.frontend.end()
+        await until(lambda: bool(server.requests) and any(c.receiving for c in made.frontend.clients.open))
+        made.frontend.begin_shutdown()
         release.set()
         assert (await client.answer())[0] == 200
         status, head, _ = await client.send(second[50:])
@@ -180,10 +180,10 @@
         made = gateway(server.address)
         client, request = await Client.to(made), ask()
         client.writer.write(request[:50])
-        await until(lambda: any(c.reading for c in made.frontend.clients.open))
+        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
         stop_now(made)
         os.write(client.writer.get_extra_info("socket").fileno(), request[50:])
-        made.frontend._refuse_half_read()  # before the loop turns again
+        made.frontend._reject_incomplete()  # before the loop turns again
         assert not made.frontend.finished.is_set()
         assert (await client.answer())[0] == 200
         await made.ended()
@@ -211,7 +211,7 @@
         client = await Client.to(made)
         client.writer.write(ask("post", body=b"a" * 60_000))
         await begun.wait()
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         go_on.set()
         status, head, _ = await client.answer()
         assert status == 200
@@ -243,10 +243,10 @@
         made = gateway(server.address)
         sock, client = await slow_reader(made)
         sock.send(ask() + ask())
-        await until(lambda: client.full)
+        await until(lambda: client.write_blocked)
         sock.send(ask())
-        await until(lambda: bool(client.ready))
-        made.frontend.end()
+        await until(lambda: bool(client.pending))
+        made.frontend.begin_shutdown()
         reader, writer = await asyncio.open_connection(sock=sock)
         for _ in range(3):
             assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
@@ -267,8 +267,8 @@
         made = gateway(server.address)
         sock, client = await slow_reader(made)
         sock.send(ask() + b"\x00\r\n\r\n")
-        await until(lambda: client.leaving)
-        assert client.unsent()
+        await until(lambda: client.closing)
+        assert client.has_unsent_output()
         await asyncio.sleep(0.05)  # the timer has rung
         reader, writer = await asyncio.open_connection(sock=sock)
         assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
@@ -285,7 +285,7 @@
         client = await Client.to(made)
         client.writer.write(ask("post", left="0.500"))
         await until(lambda: bool(server.requests))
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         began = asyncio.get_running_loop().time()
         assert (await client.answer())[0] == 502
         assert asyncio.get_running_loop().time() - began < 5.0  # nothing would ever come from the server
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -199,14 +199,16 @@
 @ways
 def test_while_it_is_not_read_for_what_it_wrote_ahead(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     # A connection that is not read tells of no end: all that had been read ahead was sent on, one by one.
-    monkeypatch.setattr(frontend, "CHECK_S", 0.01)
+    monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         server = await silent()
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(b"".join(ask("post") for _ in range(8)))
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         leave(client)
         await forgotten(made)
         await until(lambda: server.requests[1:] == [b""])
@@ -218,17 +220,19 @@
 def test_before_the_next_of_what_it_wrote_ahead_is_begun(
     leave: Leave, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "CHECK_S", 1e6)
+    monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 1e6)
 
     async def scenario() -> None:
         server, release = await holding()
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(b"".join(ask("post") for _ in range(8)))
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         leave(client)
         (connection,) = made.frontend.clients.open
-        await until(connection.left_unread)
+        await until(connection.has_abandoned_request)
         release.set()
         await forgotten(made)
         assert len(server.requests) == 1
@@ -242,12 +246,12 @@
     async def scenario() -> None:
         server = await answering(OK)
         made = gateway(server.address)
-        made.frontend._pause()
+        made.frontend._unwatch_listener()
         client = await Client.to(made)
         client.writer.write(ask("post"))
         leave(client)
         await asyncio.sleep(0.01)
-        made.frontend._resume()
+        made.frontend._watch_listener()
         await until(lambda: made.runtime._serial == 1 or leave is reset)
         await forgotten(made)
         assert server.connections == 0
@@ -296,14 +300,16 @@
             writer.write(NOT_RUN)
             await reader.read()
 
-        monkeypatch.setattr(frontend, "CHECK_S", 0.1)
+        monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.1)
         server = await Peer(script).start()
         made = gateway(server.address, server.address)
-        checked: Any = made.frontend._check_times
-        monkeypatch.setattr(made.frontend, "_check_times", lambda: None)
+        checked: Any = made.frontend._check_timeouts
+        monkeypatch.setattr(made.frontend, "_check_timeouts", lambda: None)
         client = await Client.to(made)
         client.writer.write(ask("post") + ahead)
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         leave(client)
         await asyncio.sleep(0.01)
         release.set()
@@ -361,7 +367,7 @@
         await asked.wait()
         await until(lambda: len(made.runtime._in_flight) == len(clients))
         if ending:
-            made.frontend.end()
+            made.frontend.begin_shutdown()
         connections = stop_reading(made)
         for client in clients:
             leave(client)
@@ -458,7 +464,7 @@
         late = Raw(made, ask("post"))
         leave(late)
         if ending:
-            made.frontend.end()
+            made.frontend.begin_shutdown()
         release.set()
         for client in taken:
             assert (await client.answer())[0] == 200
@@ -509,7 +515,7 @@
         seen = before_assign(made, 2, lambda: leave(late))
         await until(lambda: len(server.requests) == QUICK + 1)
         if ending:
-            made.frontend.end()
+            made.frontend.begin_shutdown()
         await forgotten(made)
         assert len(seen) == 2
         assert len(server.requests) == QUICK + 1
@@ -544,7 +550,7 @@
     """Send more than the system takes in of a connection that is not read."""
     sock.setblocking(False)
     sock.send(ahead * 1000)
-    await until(lambda: any(client.paused for client in made.frontend.clients.open))
+    await until(lambda: any(client.reading_paused for client in made.frontend.clients.open))
     with contextlib.suppress(BlockingIOError):
         while True:
             sock.send(ahead * 1000)
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -144,8 +144,8 @@
             made.reload({"NODE_CONFIG": str(file)})
         held = await Client.to(made)
         held.writer.write(ask()[:-2])
-        await until(lambda: any(c.reading for c in made.frontend.clients.open))
-        made.frontend.end()
+        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
+        made.frontend.begin_shutdown()
         if when == "during":
             made.reload({"NODE_CONFIG": str(file)})
         assert (await held.send(b"\r\n"))[0] == 200
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -74,7 +74,7 @@
 def accepting(*servers: Address, **changes: Any) -> Gateway:
     """A gateway that takes in clients, though discovery has not answered."""
     made = gateway(*servers, **changes)
-    made.frontend.accept()
+    made.frontend.start_accepting()
     return made
 
 
@@ -126,7 +126,7 @@
         self.made = made
         self.at_s = now_s()
         self.kill_s = self.at_s + min(deadline_s, COUNTED_MOST_S) + KILL_DELAY_S
-        made.frontend.end()
+        made.frontend.begin_shutdown()
 
     async def moment(self, seconds: float) -> None:
         """Wait until so long after SIGTERM."""
@@ -380,7 +380,7 @@
         (client,) = made.frontend.clients.open
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         sock.send(ask(left="2.500"))
-        while not client.unsent():
+        while not client.has_unsent_output():
             await asyncio.sleep(0.01)
         termination = Termination(made, 2.5)
         await termination.moment(1.5)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -520,7 +520,7 @@
     """A client that rests after an answer, and others that have connected and are not accepted yet."""
     resting = await Client.to(made)
     assert (await resting.send(HEALTH))[0] == 200
-    made.frontend._pause()
+    made.frontend._unwatch_listener()
     return resting, [await Client.to(made) for _ in range(3)]
 
 
@@ -529,13 +529,13 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Clients between requests were closed, and nobody was accepted for 20 ms, though nothing was short.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
         resting, waiting = await resting_and_waiting(made)
         listening(monkeypatch, made, Fault(Call.ACCEPT, code, times=2))
-        assert made.frontend._accept()  # nobody waits any more
+        assert made.frontend._accept_batch()  # nobody waits any more
         assert len(made.frontend.clients.open) == 4
         for client in [resting, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
@@ -549,8 +549,8 @@
     async def scenario() -> None:
         made = gateway()
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ECONNABORTED, times=FOR_GOOD))
-        assert not made.frontend._accept()
-        assert faults.counts[Call.ACCEPT] == frontend.ACCEPT_AT_ONCE
+        assert not made.frontend._accept_batch()
+        assert faults.counts[Call.ACCEPT] == frontend.ACCEPTS_PER_TURN
 
     run(scenario())
 
@@ -560,14 +560,14 @@
     code: int, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     # One line came with each pause of 20 ms, and said nothing of what to do.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
         resting, waiting = await resting_and_waiting(made)
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, code, times=FOR_GOOD))
-        assert not made.frontend._accept()
-        assert not made.frontend._reading  # no spin
+        assert not made.frontend._accept_batch()
+        assert not made.frontend._listener_watched  # no spin
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await resting.send(HEALTH)
         await until(lambda: faults.counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
@@ -584,13 +584,13 @@
 def test_a_fault_of_the_listener_that_is_no_shortage_closes_no_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
         resting, waiting = await resting_and_waiting(made)
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.EINVAL))
-        assert not made.frontend._accept()
+        assert not made.frontend._accept_batch()
         assert faults.counts[Call.ACCEPT] == 1  # no spin
         for client in [resting, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
@@ -600,12 +600,12 @@
 
 def test_a_gateway_without_descriptors_ends_where_nobody_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     # accept fails for want of a descriptor before it looks whether anybody waits: the end never came.
-    monkeypatch.setattr(shutdown, "QUIET_NS", 10 * MS)
+    monkeypatch.setattr(shutdown, "QUIET_PERIOD_NS", 10 * MS)
 
     async def scenario() -> None:
         made = gateway()
         listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ENFILE, times=FOR_GOOD))
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         await made.ended()
         assert clock.now() < made.frontend._shutdown.schedule.answers_due_ns
 
@@ -625,7 +625,7 @@
         faults = listening(monkeypatch, made, Fault(call, code, times=FOR_GOOD))
         for client in waiting:
             client.writer.write(ask("post"))
-        assert made.frontend._accept()
+        assert made.frontend._accept_batch()
         assert len(made.frontend.clients.open) == 4
         for client in waiting:
             assert (await client.answer())[0] == 200
@@ -650,7 +650,7 @@
 
         with monkeypatch.context() as patch:
             patch.setattr(made.frontend.loop, "connect_accepted_socket", attach)
-            assert made.frontend._accept()
+            assert made.frontend._accept_batch()
             await until(lambda: len(made.frontend.clients.open) == 1)
         assert faults.all_closed()
         for client in waiting:
@@ -668,7 +668,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(made.frontend.loop, "add_reader", failing("add_reader"))
             with contextlib.suppress(OSError):
-                made.frontend._resume()
+                made.frontend._watch_listener()
         assert (await (await Client.to(made)).send(HEALTH))[0] == 200
 
     run(scenario())
@@ -693,12 +693,12 @@
 
 
 def the_end_begins(made: Gateway) -> None:
-    made.frontend.end()
+    made.frontend.begin_shutdown()
 
 
 def it_has_rested_for_long(made: Gateway) -> None:
     (client,) = made.frontend.clients.open
-    client.check_time(client.since + 60 * SECOND)
+    client.check_timeouts(client.state_since_ns + 60 * SECOND)
 
 
 CLOSES = [room_is_made, the_end_begins, it_has_rested_for_long]
@@ -711,7 +711,7 @@
     code: int, closes: Callable[[Gateway], None], asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Any error of the look for unread bytes was taken for "nothing has come", and the connection was closed.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -729,7 +729,7 @@
 def test_a_connection_that_has_broken_holds_nothing_unread(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
@@ -1058,7 +1058,7 @@
 ) -> None:
     # The same fault at each of the first calls of its kind, in turn, over all of a gateway's own sockets.
     # A newcomer may be closed for room after its grace, which a busy machine may use up; here nobody is.
-    monkeypatch.setattr(client_table, "GRACE_NS", 1 << 62)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 1 << 62)
 
     async def scenario() -> None:
         one, two, told = await answering(OK), await answering(OK), await scripted(echoing)
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -70,7 +70,7 @@
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(ask("post") + ask("post"))
-        await until(lambda: len(server.requests) == 1 and any(c.ready for c in made.frontend.clients.open))
+        await until(lambda: len(server.requests) == 1 and any(c.pending for c in made.frontend.clients.open))
         stepped.hold_up()
         release.set()
         assert await answered(client, 2) == [200, 200]
@@ -86,7 +86,9 @@
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(ask("post") + ask("post") + ask("post"))
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         client.writer.write(ask("post"))
         await asyncio.sleep(HELD_UP_S)
         client.writer.write(ask("post"))
