--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -245,16 +245,16 @@
         ):
             self._resume()
 
-    def served(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Pass on a server's answer."""
         self._finish_request(200, answer.body, b"".join(b"%b: %b\r\n" % header for header in answer.headers))
 
-    def refused(self, retry_after_ns: int, sent_on: bool) -> None:
+    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
         """Refuse: 503 where the servers could not, 429 where nothing was sent on."""
         head = b"Retry-After: %.3f\r\n" % (retry_after_ns / clock.NS_PER_S)
         self._finish_request(503 if sent_on else 429, b"refused", head)
 
-    def failed(self) -> None:
+    def send_failure(self) -> None:
         """Fail."""
         self._finish_request(502, b"failed")
 
@@ -316,9 +316,9 @@
         Guards against sending on what nobody waits for: a connection that is not read tells of no end.
         """
         ahead = self.reading_paused and bool(self.pending) and isinstance(self.pending[0], Message)
-        return (self.request_id is not None or ahead) and self.gone()
+        return (self.request_id is not None or ahead) and self.has_disconnected()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has closed its connection, or its side of it, be it read or not."""
         if self.transport is None or self.transport.is_closing():
             return True
@@ -329,7 +329,7 @@
         except OSError:
             return False  # not known for now: whoever has not gone is owed an answer
 
-    def close_may_be_hidden(self) -> bool:
+    def disconnect_may_be_hidden(self) -> bool:
         """Whether the client may have closed its connection, unseen for what it sent ahead."""
         if not self.reading_paused:
             return False
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -209,13 +209,13 @@
                 raise RequestRejected(405, "GET only")
             return None
         request = self._validator.validate(message)
-        return self.runtime.taken(
+        return self.runtime.submit(
             client, request, message.forwarded_head(), message.body, message.arrived_at_ns
         )
 
     def request_cancelled(self, number: int) -> None:
         """The client of a request that is not answered yet has gone."""
-        self.runtime.cancelled(number)
+        self.runtime.cancel_request(number)
 
     def reserve_body_bytes(self, size: int) -> bool:
         """Count bytes of bodies that are held; false where that would be too many."""
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -217,7 +217,7 @@
         writing.cancel()
         assert now_s() < termination.kill_s
         # What was read has its answer: at most what crossed the close on the wire has none.
-        assert answered == made.runtime._serial
+        assert answered == made.runtime._last_request_id
         await termination.ended()
 
     play(scenario())
@@ -279,13 +279,13 @@
         dials: list[Dial] = []
         sender = await Sender.to(made)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Dial, "_writable", hold_up(dials))
+            patch.setattr(Dial, "_on_writable", hold_up(dials))
             sender.send(ask("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
             termination = Termination(made, 8.0)
         hold_loop_until(termination.kill_s - 0.2)
-        dial._writable()
+        dial._on_writable()
         assert (await sender.answer())[0] == 503
         assert server.requests == []
         await termination.ended()
@@ -300,13 +300,13 @@
         sender = await Sender.to(made)
         dials: list[Dial] = []
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(Dial, "_writable", hold_up(dials))
+            patch.setattr(Dial, "_on_writable", hold_up(dials))
             sender.send(ask("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
             termination = Termination(made, 8.0)
         await termination.moment(0.5)
-        dial._writable()
+        dial._on_writable()
         assert (await sender.answer())[0] == 502
         assert termination.at_s + 0.5 + told_s(server.requests[0]) < termination.kill_s
         await termination.ended()
@@ -409,7 +409,7 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(made.runtime._policy, "handle", fail)
-            made.runtime._turn()
+            made.runtime._handle_events()
         await termination.moment(0.75)
         late.send(ask("post", left="1.000"))
         assert (await late.answer())[0] == 502
@@ -426,7 +426,7 @@
         termination = Termination(made, 1.0)
         await termination.moment(0.2)
         late = await Sender.to(made)
-        made.runtime._start_anew()
+        made.runtime._restart_policy()
         await termination.moment(0.75)
         late.send(ask("post", left="1.000"))
         assert (await late.answer())[0] == 429
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -60,7 +60,7 @@
 def left_out(made: Gateway) -> list[str]:
     """The servers that are held to accept no connection, or to fail."""
     servers = made.runtime._policy.servers.backends.values()
-    return [server.entry.name for server in servers if server.unreachable_until or server.ejected_until]
+    return [server.entry.name for server in servers if server.unreachable_until_ns or server.ejected_until_ns]
 
 
 def failing(name: str) -> Callable[..., None]:
@@ -1093,7 +1093,7 @@
         faults.failing([])
         assert faults.raised[call]
         made.runtime._policy.servers.backends.clear()  # what was learned of the servers, rightly or not
-        made.runtime.listed(change_from(listing(entry("s9", one.address))))
+        made.runtime.update_servers(change_from(listing(entry("s9", one.address))))
         assert (await (await Client.to(made)).send(ask("post")))[0] == 200
 
     run(scenario())
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -14,7 +14,7 @@
 from gingerworks.gateway import arrival_times, backend, clock
 from gingerworks.gateway.__main__ import Gateway
 from gingerworks.gateway.dial import Dial
-from gingerworks.policy.driver import PATIENCE_AIM
+from gingerworks.policy.driver import OVERDUE_AIM_FRACTION
 from tests.loopback import (
     NOT_RUN,
     OK,
@@ -139,7 +139,7 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        turn: Any = made.runtime._turn
+        turn: Any = made.runtime._handle_events
 
         def late() -> None:
             if made.runtime._in_flight:
@@ -147,7 +147,7 @@
             turn()
 
         await asyncio.sleep(0)
-        monkeypatch.setattr(made.runtime, "_turn", late)
+        monkeypatch.setattr(made.runtime, "_handle_events", late)
         status, _, _ = await client.send(ask("post"))
         assert status == 200
         assert no_more_than(LEFT_S - HELD_UP_S, server.requests[0])
@@ -211,10 +211,10 @@
     """Holds the process up between the decision for one of the attempts and its begin."""
 
     def __init__(self, made: Gateway, which: int, hold_up: Callable[[], None]) -> None:
-        self._assign = made.runtime._perform[interface.Assign]
+        self._assign = made.runtime._action_handlers[interface.Assign]
         self._which, self._hold_up = which, hold_up
         self.seen = 0
-        made.runtime._perform[interface.Assign] = self
+        made.runtime._action_handlers[interface.Assign] = self
 
     def __call__(self, action: interface.Assign) -> None:
         self.seen += 1
@@ -261,7 +261,7 @@
         stalls = Stalls(made, 2, stepped.hold_up)
         assert (await client.send(ask()))[0] == 200
         assert stalls.seen == 2
-        patience = PATIENCE_AIM * SETTINGS["classes"][0]["on-time-ns"] / clock.NS_PER_S
+        patience = OVERDUE_AIM_FRACTION * SETTINGS["classes"][0]["on-time-ns"] / clock.NS_PER_S
         assert no_more_than(LEFT_S - patience - HELD_UP_S, server.requests[-1])
 
     run(scenario())
@@ -292,9 +292,9 @@
     class Held(Dial):
         """A connection that is up; the loop is busy and runs neither this nor the timer meanwhile."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._stop()
-            held.append(super()._writable)
+            held.append(super()._on_writable)
 
     monkeypatch.setattr(backend, "Dial", Held)
     stepped = SteppedClock(monkeypatch)
