--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -16,7 +16,7 @@
 from gingerworks.gateway.backend import Answer
 from gingerworks.gateway.connection_owner import ConnectionOwner
 from gingerworks.gateway.requests import MAX_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestRejected
-from gingerworks.gateway.system_errors import TRY_AGAIN
+from gingerworks.gateway.system_errors import RETRYABLE
 
 MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES  # small chunks frame every byte with six more
 MAX_READ_AHEAD = 1  # requests read ahead on one connection; one that sends more is not read meanwhile
@@ -398,4 +398,4 @@
         except BlockingIOError:
             return False
         except OSError as fault:
-            return fault.errno in TRY_AGAIN
+            return fault.errno in RETRYABLE
