--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -1,4 +1,10 @@
-"""Connections to servers and the attempts on them: every ending becomes one outcome, nothing is resent."""
+"""Connections to the servers, and the attempts that run on them.
+
+``Backends`` knows the server list, keeps idle HTTP connections to each server for reuse and limits how many
+connections are open.  ``Attempt`` is one try of a request on one server; a ``Connection`` carries one attempt
+at a time and parses its ``Answer``.  Each attempt ends with exactly one status, which says whether the
+request may have run on the server.  Nothing is sent twice here: whether to retry is decided elsewhere.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +20,8 @@
 from gingerworks.gateway import clock, number_parsing
 from gingerworks.gateway.dial import Dial, DialError, DialFailure
 from gingerworks.gateway.discovery import Change, Endpoint
+from gingerworks.gateway.idle_limit import IMMEDIATE_RESET_NS, IdleLimitEstimator
 from gingerworks.gateway.read_retry import retry_read_later
-from gingerworks.gateway.staleness import AT_ONCE_NS, Staleness
 from gingerworks.gateway.system_errors import (
     DESCRIPTOR_SHORTAGE,
     RESOURCE_SHORTAGE,
@@ -23,44 +29,51 @@
     describe_error,
 )
 
-IDLE_SHARE = 0.4  # of the time after which a server closes an idle connection at the latest
-BODY_BYTES = 64 * 1024
-ANSWER_BYTES = BODY_BYTES + 16 * 1024  # with the head and the framing
-STALL_S = 0.25  # for the rest of an answer that has begun: servers write an answer in one go
-INTERIM_MOST = 16  # answers 1xx ahead of the final one
-SETTLE_NS = 20 * clock.NS_PER_MS  # before its next request: a second answer may come some milliseconds late
-REPORT_BYTES = 1024
-PROTOCOL, VERSIONS = b"HTTP/", ("1.1", "1.0")
-PASSED_ON = (b"content-type", b"content-encoding")  # a client needs them to read the body
-FRAMING = (b"content-length", b"transfer-encoding")  # an answer with neither ends with its connection
+# Idle connections are closed after this share of the time after which a server closes them at the latest.
+IDLE_TIMEOUT_SHARE = 0.4
+MAX_BODY_BYTES = 64 * 1024
+MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # with the head and the framing
+ANSWER_STALL_S = 0.25  # for the rest of an answer that has begun: servers write an answer in one go
+MAX_INTERIM_ANSWERS = 16  # with a 1xx status, ahead of the final answer
+# A server may send a stray second answer some milliseconds after the first one.  A connection is reused only
+# after this time, so that such an answer is seen and not taken for the answer to the next request.
+MIN_IDLE_BEFORE_REUSE_NS = 20 * clock.NS_PER_MS
+MAX_LOAD_REPORT_BYTES = 1024
+HTTP_PREFIX, HTTP_VERSIONS = b"HTTP/", ("1.1", "1.0")
+FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # a client needs them to read the body
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without them the answer ends at the close
 
 log = logging.getLogger(__name__)
 
 
 class Attempt:
-    """One attempt of a request; ``ended`` is told its status once, unless it is abandoned."""
+    """One attempt to run a request on one server; ``on_end`` is called once, unless it is abandoned."""
 
     def __init__(
         self,
         server: str,
-        seconds: float,
+        timeout_s: float,
         render: Callable[[int], bytes],
-        wanted: Callable[[], bool],
-        ended: Callable[[Attempt, interface.Status, Answer | None], None],
+        may_start: Callable[[], bool],
+        on_end: Callable[[Attempt, interface.Status, Answer | None], None],
     ) -> None:
-        """``render`` gives the request for the nanoseconds left; ``wanted`` whether it may still go out."""
+        """Prepare an attempt.
+
+        ``render`` returns the bytes to send, for the given number of nanoseconds left; ``may_start`` is asked
+        before they are sent.
+        """
         self.server = server
         self.render = render
-        self.may_start = wanted
-        self.on_end = ended
+        self.may_start = may_start
+        self.on_end = on_end
         self.started_at_ns = clock.now()
-        self.expires_at_ns = self.started_at_ns + int(seconds * clock.NS_PER_S)
+        self.expires_at_ns = self.started_at_ns + int(timeout_s * clock.NS_PER_S)
         self.timer: asyncio.TimerHandle | None = None
         self.connection: Connection | None = None
 
 
-class Unreadable(Exception):
-    """An answer that cannot be what a server means; the text says why."""
+class InvalidAnswer(Exception):
+    """A server's answer violates the protocol or a limit of this module; the text says how."""
 
 
 class Answer:
@@ -75,7 +88,7 @@
         self.unprocessed = False
 
     def attempt_status(self) -> interface.Status:
-        """What it says of the attempt: only a marked refusal proves that it never ran."""
+        """The status of the attempt: only a 503 or 504 with ``X-Unprocessed: 1`` proves that it never ran."""
         if self.status == 200:
             return interface.Status.DELIVERED
         if self.status in (503, 504) and self.unprocessed:
@@ -92,14 +105,12 @@
         self.attempt: Attempt | None = attempt
         self.socket: socket.socket | None = None
         self.idle_since_ns = 0
-        self.idle_before_ns: int | None = None  # before the attempt, where it is not the first
-        self.unsent = b""  # of the request, not yet handed to the kernel
+        self.idle_before_ns: int | None = None  # before this attempt; none for the first one
+        self.unsent = b""  # rest of the request, not yet accepted by the kernel
         self.watching_writable = False
         self.answer = Answer()
         self.received_bytes = self.interim_answers = 0
-        self.answer_started = self.answer_complete = self.keep_alive = self.has_framing = (
-            self.ends_at_close
-        ) = False
+        self.answer_begun = self.answer_complete = self.keep_alive = self.framed = self.ends_at_close = False
         self.stall_timer: asyncio.TimerHandle | None = None
         self.dial: Dial | None = Dial(
             backends.loop,
@@ -107,10 +118,10 @@
             backends.connect_timeout_s,
             self.on_connected,
             self.on_connect_failed,
-        )  # raises DialError where it fails at once
+        )  # raises DialError if it fails at once
 
     def on_connected(self, sock: socket.socket) -> None:
-        """It came up: the attempt begins, if it still may."""
+        """Send the request on the new connection, if the attempt may still start."""
         self.dial = None
         self.socket = sock
         assert self.attempt is not None
@@ -120,41 +131,42 @@
             return self.backends.end_attempt(self, self.backends.send_failure_status(fault))
         if not self.attempt.may_start():
             return self.backends.end_attempt(self, interface.Status.UNUSED)
-        # Guards against new work for a server that drained, went or restarted while this was connecting, and
-        # for one to which a busy loop saw it come up too late: a keyed request is allowed to come
-        # within the time of a dial, which still lies in its window.
+        # While this was connecting, the server may have been drained, removed or restarted.  A busy event
+        # loop may also notice a new connection later than the connect time-out allows.  A keyed request must
+        # not be sent then: its repeat is safe only within the servers' deduplication window, and the policy
+        # allows for no more than the connect time-out when it checks that.
         late = clock.now() - self.attempt.started_at_ns > self.backends.connect_timeout_s * clock.NS_PER_S
         if late or not self.backends.accepts_work(self.endpoint):
             return self.backends.end_attempt(self, interface.Status.DIAL_FAILED)
         return self.send_request()
 
     def on_connect_failed(self, error: DialError) -> None:
-        """It did not come up."""
+        """End the attempt, as the connection could not be established."""
         self.dial = None
         self.backends.end_attempt(
             self, self.backends.connect_failure_status(self.endpoint.server.name, error)
         )
 
     def send_request(self) -> None:
-        """Send the attempt's request."""
+        """Begin to send the attempt's request."""
         attempt = self.attempt
         assert attempt is not None
         self.parser = httptools.HttpResponseParser(self)
         self.answer, self.received_bytes, self.interim_answers = Answer(), 0, 0
-        self.answer_started = self.answer_complete = self.ends_at_close = False
+        self.answer_begun = self.answer_complete = self.ends_at_close = False
         self.unsent = attempt.render(attempt.expires_at_ns - clock.now())
         return self.on_writable()
 
     def on_writable(self) -> None:
-        """Hand the request to the kernel; with its last byte it may run."""
+        """Write as much of the request as the kernel accepts; it may run once its last byte is written."""
         assert self.socket is not None
         try:
             self.unsent = self.unsent[self.socket.send(self.unsent) :]
         except (BlockingIOError, InterruptedError):
             pass
         except OSError as fault:
-            # No byte of this call was taken, so the last one is not written: the request never ran (send(2)).
-            # Where this host is short, waiting for the socket to be writable would spin: it is.
+            # A failed send(2) accepts no byte, so the request is incomplete at the server and never ran.
+            # After a resource shortage, waiting until the socket is writable would be a busy loop: it is.
             return self.backends.end_attempt(self, self.backends.send_failure_status(fault))
         if bool(self.unsent) != self.watching_writable:
             self.watching_writable = bool(self.unsent)
@@ -165,7 +177,7 @@
         return None
 
     def on_readable(self) -> None:
-        """Bytes of the answer, or the connection's end."""
+        """Read a part of the answer, or the end of the connection."""
         assert self.socket is not None
         try:
             data = self.socket.recv(65536)
@@ -173,20 +185,18 @@
             if fault.errno in RESOURCE_SHORTAGE:
                 return self._read_again_later()
             if fault.errno in RETRYABLE:
-                return None  # the connection lives, and what has come stays in the kernel
-            data, self.ends_at_close = b"", False  # a reset is no end
+                return None  # the connection still works; its data stays in the kernel
+            data, self.ends_at_close = b"", False  # a reset does not end an answer
         if self.attempt is None:
-            return self.backends.close_connection(
-                self
-            )  # idle: closed by the server, or data nobody asked for
+            return self.backends.close_connection(self)  # closed by the server while idle, or a stray answer
         if not data:
             return self._on_closed()
         if self.unsent:
-            # Guards against what was left over on the connection being taken for this request's answer: it
-            # came before the request was written whole, which therefore never ran.
+            # Data that comes before the request is fully written belongs to an earlier request.  This one is
+            # incomplete at the server and never ran.
             return self.backends.end_attempt(self, interface.Status.DIAL_FAILED)
-        if not self.received_bytes and not data.startswith(PROTOCOL[: len(data)]):
-            return self._reject_answer("not HTTP")  # the parser takes other protocols too
+        if not self.received_bytes and not data.startswith(HTTP_PREFIX[: len(data)]):
+            return self._reject_answer("not HTTP")  # the parser also accepts other protocols
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
@@ -202,7 +212,7 @@
         retry_read_later(self.backends.loop, sock, self.on_readable, lambda: self.socket is sock)
 
     def _on_closed(self) -> None:
-        """The connection has ended: so has an answer that states no length, any other is cut."""
+        """The connection has ended: this completes an answer without framing, any other is cut off."""
         if self.ends_at_close and not self.answer_complete:
             self.on_message_complete()
         if self.answer_complete:
@@ -212,39 +222,39 @@
         )
 
     def _end_if_complete(self) -> None:
-        """End the attempt if its answer has come whole, or never can."""
-        if self.answer_complete:  # noise right behind a good answer does not cost it
+        """End the attempt if its answer is complete or too long; otherwise limit the wait for the rest."""
+        if self.answer_complete:  # even if invalid data follows it
             return self.backends.end_attempt(self, self.answer.attempt_status(), self.answer, self.keep_alive)
-        if self.received_bytes > ANSWER_BYTES:
+        if self.received_bytes > MAX_ANSWER_BYTES:
             return self._reject_answer("the answer is too long")
-        if self.answer_started and self.stall_timer is None:
-            # Guards against an answer that stops half way on a connection that stays open.
+        if self.answer_begun and self.stall_timer is None:
+            # The server may stop in the middle of an answer and leave the connection open.
             self.stall_timer = self.backends.loop.call_later(
-                STALL_S, self._reject_answer, "the answer stopped"
+                ANSWER_STALL_S, self._reject_answer, "the rest of the answer did not come"
             )
         return None
 
     def _reject_answer(self, why: str) -> None:
-        log.info("server %s: %s", self.endpoint.server.name, why)
+        log.info("server %s: answer rejected: %s", self.endpoint.server.name, why)
         self.backends.end_attempt(self, interface.Status.ERROR)
 
     def on_message_begin(self) -> None:
         """Parser's callback."""
         if self.answer_complete:
-            self.keep_alive = False  # more has come than belongs to the answer
+            self.keep_alive = False  # there is data behind the answer
             return
-        self.answer_started, self.has_framing = True, False
+        self.answer_begun, self.framed = True, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser's callback."""
-        # Guards, here and below, against bytes behind a whole answer altering it.
+        # Here and in the callbacks below, data behind a complete answer must not change it.
         if self.answer_complete:
             return
         name, value, answer = name.lower(), value.rstrip(number_parsing.OPTIONAL_WHITESPACE), self.answer
-        self.has_framing = self.has_framing or name in FRAMING
-        if name == b"content-length" and int(value) > BODY_BYTES:
-            raise Unreadable(f"a body of {value.decode()} bytes")  # without waiting for it
-        if name in PASSED_ON:
+        self.framed = self.framed or name in FRAMING_HEADERS
+        if name == b"content-length" and int(value) > MAX_BODY_BYTES:
+            raise InvalidAnswer(f"a body of {value.decode()} bytes is too long")  # without reading it
+        if name in FORWARDED_HEADERS:
             answer.headers.append((name, value))
         elif name == b"x-unprocessed":
             answer.unprocessed = value == b"1"
@@ -257,9 +267,9 @@
         """Parser's callback."""
         if self.answer_complete:
             return
-        if self.parser.get_http_version() not in VERSIONS:
-            raise Unreadable("not HTTP/1")
-        self.ends_at_close = not self.has_framing and self.parser.get_status_code() >= 200
+        if self.parser.get_http_version() not in HTTP_VERSIONS:
+            raise InvalidAnswer("not HTTP/1.0 or HTTP/1.1")
+        self.ends_at_close = not self.framed and self.parser.get_status_code() >= 200
 
     def on_body(self, body: bytes) -> None:
         """Parser's callback."""
@@ -267,47 +277,47 @@
             self.answer.body += body
 
     def on_message_complete(self) -> None:
-        """Parser's callback; what comes before the final answer (1xx) is passed over."""
+        """Parser's callback; interim answers (1xx) before the final one are ignored."""
         if self.answer_complete:
             return
-        self.answer_started = False
+        self.answer_begun = False
         self.answer.status = self.parser.get_status_code()
         if self.answer.status >= 200:
             self.answer_complete = True
-            # Asked here only: after the callback the parser has forgotten the message and says no.
+            # This must be read here: after the callback the parser has reset its state and returns false.
             self.keep_alive = self.parser.should_keep_alive()
         else:
             self.answer = Answer()
             self.interim_answers += 1
-            if self.interim_answers > INTERIM_MOST:
-                raise Unreadable("interim answers without end")
+            if self.interim_answers > MAX_INTERIM_ANSWERS:
+                raise InvalidAnswer("too many interim answers")
 
 
 class Backends:
-    """The servers' addresses and the pools of idle connections to them."""
+    """The server list, the attempts on servers, and the pools of idle connections to them."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: interface.Settings,
-        idle_ns: int,
-        budget: int,
+        idle_timeout_ns: int,
+        max_connections: int,
     ) -> None:
-        """At most ``budget`` connections are open at once."""
+        """Servers close idle connections after ``idle_timeout_ns`` at the latest."""
         self.loop = loop
         self.connect_timeout_s = settings.limits.connect_ns / clock.NS_PER_S
         self._settings = settings
-        self._max_idle_ns = int(IDLE_SHARE * idle_ns)
-        self._max_connections = budget
+        self._max_idle_ns = int(IDLE_TIMEOUT_SHARE * idle_timeout_ns)
+        self._max_connections = max_connections
         self._endpoints: dict[str, Endpoint] = {}
         self._idle: dict[str, list[Connection]] = {}
         self._open: set[Connection] = set()
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._idle_limit = Staleness()
-        self._logged_shortage = ""  # of which the operator was told last; none since a dial has begun
+        self._idle_limit = IdleLimitEstimator()
+        self._logged_shortage = ""  # the last one logged; empty again once a connection is being opened
 
     def update_servers(self, change: Change) -> None:
-        """Take in the list or a part of it; idle connections to processes that ended are dropped."""
+        """Apply a full list or a change of it, and close idle connections to processes that have ended."""
         if change.full:
             listed = {endpoint.server.name for endpoint in change.endpoints}
             for name in self._endpoints.keys() - listed:
@@ -325,11 +335,11 @@
                 self.close_idle(server.name)
 
     def servers(self) -> Iterable[interface.Server]:
-        """The servers as last told."""
+        """The servers as discovery last listed them."""
         return [endpoint.server for endpoint in self._endpoints.values()]
 
     def accepts_work(self, endpoint: Endpoint) -> bool:
-        """Whether this process still runs and wants new work, as far as is known."""
+        """Whether this process is, as far as is known, still running and ready for new requests."""
         now = self._endpoints.get(endpoint.server.name)
         return (
             now is not None
@@ -338,7 +348,7 @@
         )
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt, on the most recently used idle connection or on a new one."""
+        """Start an attempt, on the most recently used idle connection or on a new one."""
         if not attempt.may_start():
             return attempt.on_end(attempt, interface.Status.UNUSED, None)
         endpoint = self._endpoints.get(attempt.server)
@@ -350,18 +360,18 @@
             return attempt.on_end(attempt, self.connect_failure_status(attempt.server, error), None)
         attempt.connection, connection.attempt = connection, attempt
         left = (attempt.expires_at_ns - clock.now()) / clock.NS_PER_S
-        attempt.timer = self.loop.call_later(max(0.0, left), self._expired, attempt)
+        attempt.timer = self.loop.call_later(max(0.0, left), self._on_timeout, attempt)
         if connection.socket is not None:
             connection.send_request()
         return None
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up an attempt by closing its connection."""
+        """Cancel an attempt by closing its connection."""
         if attempt.connection is not None:
             self.end_attempt(attempt.connection, interface.Status.CANCELLED)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Give up an attempt whose end nobody wants to hear of."""
+        """Cancel an attempt without reporting its end."""
         attempt.on_end = _ignore
         self.cancel(attempt)
 
@@ -372,7 +382,7 @@
         answer: Answer | None = None,
         keep: bool = False,
     ) -> None:
-        """An attempt has ended; its connection is kept only after a whole answer."""
+        """End an attempt and report its status; ``keep`` tells whether its connection may be reused."""
         attempt, connection.attempt = connection.attempt, None
         assert attempt is not None
         attempt.connection = None
@@ -382,8 +392,10 @@
             connection.stall_timer.cancel()
             connection.stall_timer = None
         if connection.idle_before_ns is not None:
-            at_once = clock.now() - attempt.started_at_ns < AT_ONCE_NS
-            self._idle_limit.told(connection.idle_before_ns, status is interface.Status.DROPPED and at_once)
+            immediate = clock.now() - attempt.started_at_ns < IMMEDIATE_RESET_NS
+            self._idle_limit.record(
+                connection.idle_before_ns, status is interface.Status.DROPPED and immediate
+            )
         if keep and self.accepts_work(connection.endpoint):
             self._keep_idle(connection)
         else:
@@ -408,29 +420,29 @@
             connection.socket = None
 
     def close_idle(self, server: str) -> None:
-        """Close the idle connections to a server: they may lead to nobody."""
+        """Close the idle connections to a server, as they may be dead."""
         for connection in self._idle.pop(server, []):
             self.close_connection(connection)
 
     def close(self) -> None:
-        """Close all."""
+        """Close all connections."""
         for connection in list(self._open):
             self.close_connection(connection)
         if self._idle_timer is not None:
             self._idle_timer.cancel()
 
     def parse_units(self, value: bytes) -> float | None:
-        """True units as a server tells them; what cannot be true is no news."""
+        """The units that a server states for a request; none if the value is malformed or impossible."""
         units = number_parsing.parse_decimal(value)
         return units if units is not None and 0 < units <= self._settings.max_units else None
 
     def parse_report(self, value: bytes) -> tuple[tuple[str, float], ...]:
-        """The fields of a load report that the settings name."""
-        if len(value) > REPORT_BYTES:
+        """The fields of a load report that the settings name; others and malformed values are ignored."""
+        if len(value) > MAX_LOAD_REPORT_BYTES:
             return ()
         try:
             report = json.loads(value)
-        except (ValueError, RecursionError):  # the latter where it is nested deeply
+        except (ValueError, RecursionError):  # RecursionError: deeply nested JSON
             return ()
         if not isinstance(report, dict):
             return ()
@@ -441,27 +453,27 @@
             if isinstance(n, (int, float)) and not isinstance(n, bool) and 0 <= n < 1e9
         )
 
-    def _expired(self, attempt: Attempt) -> None:
+    def _on_timeout(self, attempt: Attempt) -> None:
         if attempt.connection is not None:
-            never = attempt.connection.socket is None or bool(attempt.connection.unsent)
+            never_ran = attempt.connection.socket is None or bool(attempt.connection.unsent)
             self.end_attempt(
-                attempt.connection, interface.Status.DIAL_FAILED if never else interface.Status.EXPIRED
+                attempt.connection, interface.Status.DIAL_FAILED if never_ran else interface.Status.EXPIRED
             )
-            self.close_idle(attempt.server)  # if the machine vanished, they are dead as well
+            self.close_idle(attempt.server)  # if the machine has vanished, they are dead too
 
     def _take_idle(self, server: str) -> Connection | None:
         now = clock.now()
         idle = self._idle.get(server, [])
-        oldest = min(self._max_idle_ns, self._idle_limit.too_old_ns() or self._max_idle_ns)
-        # Guards against a second copy right behind an answer being taken for the next request's: it has come
-        # by the time that a connection has rested a little, and is seen below.
-        for connection in [c for c in reversed(idle) if now - c.idle_since_ns >= SETTLE_NS]:
+        limit_ns = min(self._max_idle_ns, self._idle_limit.limit_ns() or self._max_idle_ns)
+        # A stray second answer to the last request has arrived by the time that a connection has been idle
+        # for this minimum, and the read below finds it.
+        for connection in [c for c in reversed(idle) if now - c.idle_since_ns >= MIN_IDLE_BEFORE_REUSE_NS]:
             idle.remove(connection)
             assert connection.socket is not None
             connection.idle_before_ns = now - connection.idle_since_ns
-            if connection.idle_before_ns < oldest:
-                # Guards against a close or reset that has come but was not read yet: the attempt would
-                # count as one that may have run.
+            if connection.idle_before_ns < limit_ns:
+                # The server may have closed or reset the connection, which the event loop has not seen yet.
+                # An attempt sent on it would count as one that may have run.
                 try:
                     connection.socket.recv(1, socket.MSG_PEEK)
                 except BlockingIOError:
@@ -472,39 +484,38 @@
         return None
 
     def connect_failure_status(self, server: str, error: DialError) -> interface.Status:
-        """What an attempt came to whose connection did not come up.
+        """The status of an attempt whose connection could not be established.
 
-        Guards against a shortage of this host being held against its servers, all of which would then be left
-        out for seconds.
+        A shortage on this host must not count against its servers: each of them would be avoided for seconds.
         """
         if error.failure is DialFailure.UNREACHABLE:
-            log.info("server %s: no connection: %s", server, error)
+            log.info("server %s: cannot connect: %s", server, error)
             return interface.Status.DIAL_FAILED
         self._report_shortage(str(error), error.code)
         return interface.Status.UNUSED
 
     def send_failure_status(self, fault: OSError) -> interface.Status:
-        """What an attempt came to whose request could not be written whole."""
+        """The status of an attempt whose request could not be written completely, so that it never ran."""
         if fault.errno not in RESOURCE_SHORTAGE:
             return interface.Status.DIAL_FAILED
         self._report_shortage(describe_error(fault.errno), fault.errno)
         return interface.Status.UNUSED
 
     def _report_shortage(self, text: str, code: int) -> None:
-        """This host is short of something: one line for each shortage, and room where a close makes some.
+        """Log a shortage on this host once, and close an idle connection if that frees what is short.
 
-        An idle connection may be the only way left to its server, so none is closed that would free nothing.
+        For any other shortage idle connections stay open, as new ones to their servers cannot be opened now.
         """
         if text != self._logged_shortage:
             self._logged_shortage = text
-            log.warning("no connection to servers: %s", text)
+            log.warning("cannot connect to servers: %s", text)
         if code in DESCRIPTOR_SHORTAGE:
             self._close_oldest_idle()
 
     def _open_new(self, endpoint: Endpoint, attempt: Attempt) -> Connection:
         if len(self._open) >= self._max_connections and not self._close_oldest_idle():
-            text = f"all {self._max_connections} are in use: raise limits.sockets, or run more gateways"
-            raise DialError(DialFailure.LOCAL, text)
+            text = f"all {self._max_connections} connections are in use"
+            raise DialError(DialFailure.LOCAL, f"{text}; raise limits.sockets or run more gateways")
         connection = Connection(self, endpoint, attempt)
         self._logged_shortage = ""
         self._open.add(connection)
@@ -519,16 +530,16 @@
             )
 
     def _close_expired_idle(self) -> None:
-        """Close what has been idle for too long; comes again only while something is idle."""
+        """Close connections that have been idle for too long, and reschedule while any is left."""
         self._idle_timer, now = None, clock.now()
-        resting = [connection for idle in self._idle.values() for connection in idle]
-        for connection in resting:
+        connections = [connection for idle in self._idle.values() for connection in idle]
+        for connection in connections:
             if now - connection.idle_since_ns >= self._max_idle_ns:
                 self.close_connection(connection)
-        oldest = min((c.idle_since_ns for c in resting if c.socket is not None), default=None)
+        oldest = min((c.idle_since_ns for c in connections if c.socket is not None), default=None)
         if oldest is not None:
-            due = max(clock.NS_PER_MS, oldest + self._max_idle_ns - now)
-            self._idle_timer = self.loop.call_later(due / clock.NS_PER_S, self._close_expired_idle)
+            delay_ns = max(clock.NS_PER_MS, oldest + self._max_idle_ns - now)
+            self._idle_timer = self.loop.call_later(delay_ns / clock.NS_PER_S, self._close_expired_idle)
 
     def _close_oldest_idle(self) -> bool:
         oldest = min(
@@ -541,8 +552,9 @@
 
 
 def _process(endpoint: Endpoint) -> tuple[object, int]:
+    """Identify the process behind an entry: a restart or a move to another address makes a new one."""
     return endpoint.address, endpoint.server.started_ns
 
 
 def _ignore(attempt: Attempt, status: interface.Status, answer: Answer | None) -> None:
-    """Nobody wants to hear of it."""
+    """Do nothing at the end of an abandoned attempt."""
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -57,7 +57,7 @@
 
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backend, "SETTLE_NS", 0)
+    monkeypatch.setattr(backend, "MIN_IDLE_BEFORE_REUSE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -446,7 +446,9 @@
 def test_in_the_backlog_of_a_full_table(
     leave: Callable[[Raw], None], ending: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backend, "SETTLE_NS", 0)  # an idle connection takes the request in the same turn
+    monkeypatch.setattr(
+        backend, "MIN_IDLE_BEFORE_REUSE_NS", 0
+    )  # an idle connection takes the request in the same turn
 
     async def scenario() -> None:
         server, release = await holding()
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -108,7 +108,7 @@
         assert not left_out(made)
         assert faults.all_closed()
         assert not one.requests + two.requests
-        said = [record for record in caplog.records if "no connection to servers" in record.message]
+        said = [record for record in caplog.records if "cannot connect to servers" in record.message]
         if call in (Call.SOCKET, Call.SETSOCKOPT, Call.CONNECT):
             assert len(said) == 1
         faults.failing([])
