--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -15,7 +15,7 @@
 from gingerworks.policy.clock_sync import EPOCHS_IN_LAP, ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
-from gingerworks.policy.in_flight import InFlight
+from gingerworks.policy.in_flight import InFlightRequest
 from gingerworks.policy.speculative_admission import BUSY_DEMAND, Headroom, PassRate, headroom_of
 
 TOLERATED_SURPLUS = (
@@ -108,7 +108,7 @@
         self.advanced_at = self.read_at = self.last_request_at = now
         self.report_scheduled = self.exhausted = False
         self.counter_answered = True
-        self.waiting: list[InFlight[Customer]] = []
+        self.waiting: list[InFlightRequest[Customer]] = []
         self.pending_call: CounterCall | None = None
 
     def share_rate(self, now: int) -> float:
@@ -228,7 +228,7 @@
 
     def apply_reading(
         self, call: CounterCall, level: float, now: int
-    ) -> list[tuple[InFlight[Customer], bool]]:
+    ) -> list[tuple[InFlightRequest[Customer], bool]]:
         """Learn from the shared count what the store lacks; says which of the requests held it covers."""
         since = self.plan.rate * (now - call.count_began) / SECOND
         level -= self.undo_duplicate_repair(call, level - call.amount - since)
@@ -293,7 +293,7 @@
         self.amount = self.reported + self.repair + sum(amount for _, amount in self.held)
 
     @staticmethod
-    def _units_added_now(inflight: InFlight[Customer]) -> float:
+    def _units_added_now(inflight: InFlightRequest[Customer]) -> float:
         likely = inflight.uncertainty is None or inflight.uncertainty.chance >= LIKELY_CHANCE
         return inflight.request.units if likely else 0.0
 
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -68,9 +68,9 @@
     class Held(Dial):
         """A connection that comes up only when the test says so."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._loop.remove_writer(self._socket.fileno())
-            held.append(super()._writable)
+            held.append(super()._on_writable)
 
     monkeypatch.setattr(backend, "Dial", Held)
     return held
@@ -164,16 +164,16 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        taken: Any = made.runtime.taken
+        taken: Any = made.runtime.submit
 
         def leaves_at_once(*told: Any) -> int:
             number: int = taken(*told)
-            made.runtime.cancelled(number)  # the module hears of both in one turn
+            made.runtime.cancel_request(number)  # the module hears of both in one turn
             return number
 
-        monkeypatch.setattr(made.runtime, "taken", leaves_at_once)
+        monkeypatch.setattr(made.runtime, "submit", leaves_at_once)
         client.writer.write(ask("post"))
-        await until(lambda: made.runtime._serial == 1 and not made.runtime._in_flight)
+        await until(lambda: made.runtime._last_request_id == 1 and not made.runtime._in_flight)
         leave(client)
         await forgotten(made)
         assert server.requests == []
@@ -199,14 +199,16 @@
 @ways
 def test_while_it_is_not_read_for_what_it_wrote_ahead(leave: Leave, monkeypatch: pytest.MonkeyPatch) -> None:
     # A connection that is not read tells of no end: all that had been read ahead was sent on, one by one.
-    monkeypatch.setattr(frontend, "CHECK_S", 0.01)
+    monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         server = await silent()
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(b"".join(ask("post") for _ in range(8)))
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         leave(client)
         await forgotten(made)
         await until(lambda: server.requests[1:] == [b""])
@@ -218,17 +220,19 @@
 def test_before_the_next_of_what_it_wrote_ahead_is_begun(
     leave: Leave, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(frontend, "CHECK_S", 1e6)
+    monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 1e6)
 
     async def scenario() -> None:
         server, release = await holding()
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(b"".join(ask("post") for _ in range(8)))
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         leave(client)
         (connection,) = made.frontend.clients.open
-        await until(connection.left_unread)
+        await until(connection.has_abandoned_request)
         release.set()
         await forgotten(made)
         assert len(server.requests) == 1
@@ -242,13 +246,13 @@
     async def scenario() -> None:
         server = await answering(OK)
         made = gateway(server.address)
-        made.frontend._pause()
+        made.frontend._unwatch_listener()
         client = await Client.to(made)
         client.writer.write(ask("post"))
         leave(client)
         await asyncio.sleep(0.01)
-        made.frontend._resume()
-        await until(lambda: made.runtime._serial == 1 or leave is reset)
+        made.frontend._watch_listener()
+        await until(lambda: made.runtime._last_request_id == 1 or leave is reset)
         await forgotten(made)
         assert server.connections == 0
         assert not made.backends._open
@@ -296,14 +300,16 @@
             writer.write(NOT_RUN)
             await reader.read()
 
-        monkeypatch.setattr(frontend, "CHECK_S", 0.1)
+        monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.1)
         server = await Peer(script).start()
         made = gateway(server.address, server.address)
-        checked: Any = made.frontend._check_times
-        monkeypatch.setattr(made.frontend, "_check_times", lambda: None)
+        checked: Any = made.frontend._check_timeouts
+        monkeypatch.setattr(made.frontend, "_check_timeouts", lambda: None)
         client = await Client.to(made)
         client.writer.write(ask("post") + ahead)
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         leave(client)
         await asyncio.sleep(0.01)
         release.set()
@@ -361,7 +367,7 @@
         await asked.wait()
         await until(lambda: len(made.runtime._in_flight) == len(clients))
         if ending:
-            made.frontend.end()
+            made.frontend.begin_shutdown()
         connections = stop_reading(made)
         for client in clients:
             leave(client)
@@ -404,14 +410,14 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = Raw(made, ask("post"))
-        assign = made.runtime._perform[interface.Assign]
+        assign = made.runtime._action_handlers[interface.Assign]
 
         def leaves_before(action: interface.Assign) -> None:
             leave(client)  # the loop has no turn between this and the attempt
             assign(action)
 
-        made.runtime._perform[interface.Assign] = leaves_before
-        await until(lambda: made.runtime._serial == 1)
+        made.runtime._action_handlers[interface.Assign] = leaves_before
+        await until(lambda: made.runtime._last_request_id == 1)
         await forgotten(made)
         assert server.connections == 0
 
@@ -426,15 +432,15 @@
         server = await answering(NOT_RUN)
         made = gateway(server.address, server.address)
         clients = [Raw(made, ask("post"))]
-        ended: Any = made.runtime._ended
+        ended: Any = made.runtime._attempt_ended
 
         def leaves_before(*told: Any) -> None:
             if clients:
                 leave(clients.pop())
             ended(*told)
 
-        monkeypatch.setattr(made.runtime, "_ended", leaves_before)
-        await until(lambda: made.runtime._serial == 1)
+        monkeypatch.setattr(made.runtime, "_attempt_ended", leaves_before)
+        await until(lambda: made.runtime._last_request_id == 1)
         await forgotten(made)
         assert len(server.requests) == 1
 
@@ -446,7 +452,9 @@
 def test_in_the_backlog_of_a_full_table(
     leave: Callable[[Raw], None], ending: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backend, "SETTLE_NS", 0)  # an idle connection takes the request in the same turn
+    monkeypatch.setattr(
+        backend, "MIN_IDLE_BEFORE_REUSE_NS", 0
+    )  # an idle connection takes the request in the same turn
 
     async def scenario() -> None:
         server, release = await holding()
@@ -458,12 +466,12 @@
         late = Raw(made, ask("post"))
         leave(late)
         if ending:
-            made.frontend.end()
+            made.frontend.begin_shutdown()
         release.set()
         for client in taken:
             assert (await client.answer())[0] == 200
             client.writer.close()
-        await until(lambda: made.runtime._serial == len(taken) + 1 or leave is Raw.reset)
+        await until(lambda: made.runtime._last_request_id == len(taken) + 1 or leave is Raw.reset)
         await forgotten(made)
         assert len(server.requests) == len(taken)
 
@@ -472,7 +480,7 @@
 
 def before_assign(made: Gateway, which: int, what: Callable[[], None]) -> list[interface.Assign]:
     """Do something as one of the attempts is assigned: the loop has no turn between this and the attempt."""
-    assign, seen = made.runtime._perform[interface.Assign], list[interface.Assign]()
+    assign, seen = made.runtime._action_handlers[interface.Assign], list[interface.Assign]()
 
     def assigned(action: interface.Assign) -> None:
         seen.append(action)
@@ -480,7 +488,7 @@
             what()
         assign(action)
 
-    made.runtime._perform[interface.Assign] = assigned
+    made.runtime._action_handlers[interface.Assign] = assigned
     return seen
 
 
@@ -509,7 +517,7 @@
         seen = before_assign(made, 2, lambda: leave(late))
         await until(lambda: len(server.requests) == QUICK + 1)
         if ending:
-            made.frontend.end()
+            made.frontend.begin_shutdown()
         await forgotten(made)
         assert len(seen) == 2
         assert len(server.requests) == QUICK + 1
@@ -544,7 +552,7 @@
     """Send more than the system takes in of a connection that is not read."""
     sock.setblocking(False)
     sock.send(ahead * 1000)
-    await until(lambda: any(client.paused for client in made.frontend.clients.open))
+    await until(lambda: any(client.reading_paused for client in made.frontend.clients.open))
     with contextlib.suppress(BlockingIOError):
         while True:
             sock.send(ahead * 1000)
