--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -1,4 +1,11 @@
-"""One connection of a client: it is read within bounds, answered once a request, and given up in time."""
+"""One client connection: reads HTTP/1 requests within size limits and writes one answer to each.
+
+Requests are handled one at a time, in the order in which they came.  At most ``MAX_READ_AHEAD`` further ones
+are read meanwhile; then reading pauses, so that a client that pipelines many requests cannot fill the memory.
+A request that is not valid HTTP, or that breaks a limit, is rejected with an error status; after that nothing
+more is read, and the connection closes once the requests before it have their answers.  ``check_timeouts``
+closes connections that are silent, stop within a request, or do not read their answer.
+"""
 
 from __future__ import annotations
 
@@ -18,19 +25,20 @@
 from gingerworks.gateway.requests import MAX_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestRejected
 from gingerworks.gateway.system_errors import RETRYABLE
 
-MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES  # small chunks frame every byte with six more
-MAX_READ_AHEAD = 1  # requests read ahead on one connection; one that sends more is not read meanwhile
-REQUEST_TIMEOUT_NS = (
-    2 * clock.NS_PER_S
-)  # for the first request since the connection came, a further one since it began
+# For one message with its framing: each byte of a body in tiny chunks comes with about six bytes of framing.
+MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
+MAX_READ_AHEAD = 1  # requests that wait behind the one in flight; with more of them, reading pauses
+# For a request to arrive whole: the first one counts from the accept, a further one from its first byte.
+REQUEST_TIMEOUT_NS = 2 * clock.NS_PER_S
 IDLE_TIMEOUT_NS = 3 * clock.NS_PER_S  # between requests
-ANSWER_READ_TIMEOUT_NS = 2 * clock.NS_PER_S  # for a client to take its answer
-# Unread on a connection that is not read, from which on its end may be hidden: the system takes in only so
-# much, and a close lies behind it.  That is 65,000 to 130,000 bytes by default, and less of small segments.
-HIDDEN_CLOSE_BYTES = 60 * 1024
-HIDDEN_CLOSE_REJECTED_BYTES = 8 * 1024  # ... where none of it will be read
-LINGER_S = 0.3  # for a client to read why it was refused while it still sends
-RETRY_AFTER_OVERLOAD = b"Retry-After: 0.100\r\n"  # with a refusal for want of room
+ANSWER_READ_TIMEOUT_NS = 2 * clock.NS_PER_S  # for a client to read its answer
+# While reading is paused, the kernel's receive buffer may fill up, and a FIN behind it stays unseen.  It
+# holds 65,000 to 130,000 bytes by default, and fewer if they come in small segments.  From this many unread
+# bytes on, a disconnect counts as possibly hidden.
+HIDDEN_DISCONNECT_BYTES = 60 * 1024
+HIDDEN_DISCONNECT_REJECTED_BYTES = 8 * 1024  # the same after a rejection, when none of it will be read
+LINGER_S = 0.3  # before the close: for a client that is still sending to read why it was rejected
+RETRY_AFTER_OVERLOAD = b"Retry-After: 0.100\r\n"  # sent with each rejection by 503
 
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
@@ -42,7 +50,7 @@
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client; one request at a time is held."""
+    """One client connection: both the transport's protocol and the target of the parser's callbacks."""
 
     def __init__(self, owner: ConnectionOwner[ClientConnection], sock: socket.socket) -> None:
         self.owner = owner
@@ -50,30 +58,29 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.message = Message()
-        self.pending: deque[Message | RequestRejected] = deque()
-        self.request_id: int | None = None  # of the request that is held
-        self.state_since_ns = clock.now()  # what is waited for now
+        self.pending: deque[Message | RequestRejected] = deque()  # read and not yet handled, in order
+        self.request_id: int | None = None  # of the request in flight
+        self.state_since_ns = clock.now()  # start of the current wait, for the timeouts and for eviction
         self.arrivals = ArrivalTracker(sock, owner.backlog_empty_at_ns)
-        self.has_requested = False  # a whole request has come
-        self.closing = False  # the last answer was written: nothing further is read or asked
-        self.reading_stopped = False  # nothing further is read
+        self.has_requested = False  # a first request was handled or rejected
+        self.closing = False  # the last answer was written: no further request is handled
+        self.reading_stopped = False  # for good: whatever still comes is ignored
         self.keep_alive = True
-        self.reading_paused = False  # not read for now
-        self.write_blocked = False  # answers that were written wait for the client to read
-        self.receiving = self.receiving_head = False  # a message that is not whole yet, and its head
-        self.messages_begun = self.incomplete_bytes = (
-            0  # messages begun with the last data; bytes of an unfinished one
-        )
-        self.held_body_bytes = 0  # bytes of bodies that were read here
-        self.arrived_at_ns = 0  # when the data that is being parsed came, at the earliest
+        self.reading_paused = False
+        self.write_blocked = False  # the client is slow to read the answers that were written
+        self.receiving = self.receiving_head = False  # within a message, and within its head
+        # Messages begun in the latest read; bytes of the incomplete message, from reads of nothing else.
+        self.messages_begun = self.incomplete_bytes = 0
+        self.held_body_bytes = 0  # counted against the limit over all clients
+        self.arrived_at_ns = 0  # the earliest time at which the data being parsed can have come
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Transport's callback."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's has no such base
+        """Called by the transport once the connection can be read and written."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport doesn't derive from it
         self.owner.connection_attached()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Transport's callback: whoever waited here has gone."""
+        """Called by the transport after the close: cancels the request in flight and drops pending ones."""
         self.transport = None
         self.pending.clear()
         if self.request_id is not None:
@@ -83,27 +90,27 @@
         self.owner.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """Transport's callback.  Guards against piling up answers that the client does not read."""
+        """Called by the transport when its write buffer is full: begins no further request meanwhile."""
         self.write_blocked = True
 
     def resume_writing(self) -> None:
-        """Transport's callback."""
+        """Called by the transport once the client has read enough of its answers."""
         self.write_blocked = False
         self._handle_next()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Transport's callback.  Little is read at a time, so that many who write ahead pile up little."""
+        """Called by the transport before a read; the buffer is small, to bound what is read ahead."""
         self.arrivals.begin_read()
         return self.owner.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Transport's callback."""
+        """Called by the transport after a read of ``nbytes``: parses them and handles what is complete."""
         if self.reading_stopped:
             return
-        fresh, self.messages_begun = not self.receiving, 0
+        between_messages, self.messages_begun = not self.receiving, 0
         emptied = nbytes < len(self.owner.read_buffer)
         arrival = self.arrivals.end_read(emptied)
-        self.arrived_at_ns, waiting = arrival.earliest_ns, len(self.pending)
+        self.arrived_at_ns, pending_before = arrival.earliest_ns, len(self.pending)
         try:
             self.parser.feed_data(self.owner.read_buffer[:nbytes])
         except httptools.HttpParserCallbackError as fault:
@@ -112,18 +119,19 @@
         except httptools.HttpParserError:
             self._reject(RequestRejected(400, "malformed"))
         except httptools.HttpParserUpgrade:
-            # Guards against losing a whole request for its wish to change protocols: answer in this one.
+            # The parser stops at an Upgrade header; the request itself is whole and is answered in HTTP/1.
             self.reading_stopped = True
             self.message.keep_alive = False
         if (
             emptied
             and not self.receiving
-            and len(self.pending) > waiting
+            and len(self.pending) > pending_before
             and self.pending[-1] is self.message
         ):
-            self.message.arrived_at_ns = arrival.latest_ns  # its last byte is the last that has come
-        # Guards against a head or a frame without end: the parser keeps it and tells only of whole fields.
-        if self.receiving and self.messages_begun == fresh:
+            self.message.arrived_at_ns = arrival.latest_ns  # its last byte is the last one received
+        # The parser buffers an incomplete header field or chunk size without calling back, so its callbacks
+        # can't bound the size of an endless one.
+        if self.receiving and self.messages_begun == between_messages:
             self.incomplete_bytes += nbytes
             if self.incomplete_bytes > (MAX_HEAD_BYTES if self.receiving_head else MAX_MESSAGE_BYTES):
                 self._reject(RequestRejected(431, "the request is too large"))
@@ -144,20 +152,21 @@
         self.arrivals.resume(began_at, emptied=not self.has_unread_input())
         self.transport.resume_reading()
 
-    def _reject(self, refusal: RequestRejected) -> None:
+    def _reject(self, rejection: RequestRejected) -> None:
+        """Queue an error answer behind the pending requests, and read nothing further."""
         if self.reading_stopped:
             return
-        self.pending.append(refusal)
+        self.pending.append(rejection)
         self._stop_reading()
 
     def _stop_reading(self) -> None:
         self.reading_stopped = True
         if not self.reading_paused and self.transport is not None:
-            # Guards against spending time on all that a refused client goes on to send.
+            # A rejected client may go on sending; reading it would only cost time.
             self._pause()
 
     def on_message_begin(self) -> None:
-        """Parser's callback."""
+        """Called by the parser at the start of a request; may start the wait for the rest of it."""
         self.message = Message()
         self.receiving = self.receiving_head = True
         self.messages_begun += 1
@@ -166,29 +175,29 @@
             self.state_since_ns = clock.now()
 
     def on_url(self, url: bytes) -> None:
-        """Parser's callback."""
+        """Called by the parser with a part of the request target."""
         self.message.count_head_bytes(len(url))
         self.message.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser's callback."""
+        """Called by the parser with one header field."""
         self.message.count_head_bytes(len(name) + len(value) + 4)
         self.message.headers.append((name, value.rstrip(number_parsing.OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
-        """Parser's callback."""
+        """Called by the parser at the end of the head: checks the framing and answers ``Expect``."""
         self.receiving_head = False
         self.message.method = self.parser.get_method()
         self.message.check_framing(self.parser.get_http_version())
         if self.parser.should_upgrade() and self.message.has_body():
-            # Guards against sending it on without its body, which the parser takes for another protocol.
+            # The parser leaves the body to the new protocol, so the request would be forwarded without it.
             raise RequestRejected(400, "Upgrade on a request with a body: send it without")
         for name, value in self.message.headers:
             if name.lower() == b"expect" and value.lower() == b"100-continue" and self.transport is not None:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Parser's callback."""
+        """Called by the parser with a part of the body, without chunk framing."""
         if len(self.message.body) + len(body) > MAX_BODY_BYTES:
             raise RequestRejected(413, "the body is too large")
         if not self.owner.reserve_body_bytes(len(body)):
@@ -197,14 +206,14 @@
         self.message.body += body
 
     def on_message_complete(self) -> None:
-        """Parser's callback."""
+        """Called by the parser at the end of a request, which is queued for handling."""
         self.receiving = False
         self.message.keep_alive = self.parser.should_keep_alive()
         self.message.arrived_at_ns = self.arrived_at_ns
         self.pending.append(self.message)
 
     def _handle_next(self) -> None:
-        """Begin with the next request that was read, once the one before has its answer."""
+        """Handle pending requests until one is in flight, and resume reading if few are left."""
         while self.pending and self.request_id is None and self.transport is not None:
             if self.closing or self.transport.is_closing() or self.write_blocked:
                 return
@@ -219,20 +228,20 @@
                     raise message
                 self.keep_alive = message.keep_alive
                 self.request_id = self.owner.submit_request(self, message)
-            except RequestRejected as refusal:
-                # Guards against a client that sends the same again and again: it has to connect again, once
-                # the requests that were read behind this one have their answers.
+            except RequestRejected as rejection:
+                # A client that repeats a bad request has to reconnect each time.  The requests that were read
+                # behind this one are answered first.
                 self._stop_reading()
                 self.keep_alive = bool(self.pending)
                 self._write_answer(
-                    refusal.status,
-                    str(refusal).encode(),
-                    RETRY_AFTER_OVERLOAD if refusal.status == 503 else b"",
+                    rejection.status,
+                    str(rejection).encode(),
+                    RETRY_AFTER_OVERLOAD if rejection.status == 503 else b"",
                 )
                 continue
             except Exception:
-                # Guards against a fault in one request ending more than that request.
-                log.exception("a request failed")
+                # An unexpected error fails this request only; the connection goes on.
+                log.exception("unexpected error while submitting a request; answering 502")
                 self._write_answer(502, b"failed")
                 continue
             if self.request_id is None:
@@ -246,31 +255,33 @@
             self._resume()
 
     def send_answer(self, answer: Answer) -> None:
-        """Pass on a server's answer."""
+        """Final answer served: forward a server's answer."""
         self._finish_request(200, answer.body, b"".join(b"%b: %b\r\n" % header for header in answer.headers))
 
     def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
-        """Refuse: 503 where the servers could not, 429 where nothing was sent on."""
+        """Final answer refused: 503 if the request was sent to a server (``sent_on``), else 429."""
         head = b"Retry-After: %.3f\r\n" % (retry_after_ns / clock.NS_PER_S)
         self._finish_request(503 if sent_on else 429, b"refused", head)
 
     def send_failure(self) -> None:
-        """Fail."""
+        """Final answer failed."""
         self._finish_request(502, b"failed")
 
     def _finish_request(self, status: int, body: bytes, headers: bytes = b"") -> None:
+        """Write the final answer of the request in flight; the next request begins in a later turn."""
         self.request_id = None
         self._write_answer(status, body, headers)
         if self.pending:
             self.owner.loop.call_soon(self._handle_next)
 
     def _write_answer(self, status: int, body: bytes, headers: bytes = b"") -> None:
+        """Write an answer, and close the connection after it unless further requests may follow."""
         self.state_since_ns = clock.now()
         if not self.pending and not self.receiving:
             self._release_held_body()
         if self.transport is None:
             return
-        last = self.reading_stopped and not self.pending  # of what was read, and nothing further is
+        last = self.reading_stopped and not self.pending  # nothing further is read, nothing read is left
         keep = self.keep_alive and not last and not (self.owner.shutting_down and self._is_last_answer())
         self.transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n%b"
@@ -290,11 +301,12 @@
         self.closing = True
         self.owner.connection_closing(self)
         if self.reading_stopped:
-            # Guards against a reset that overtakes the answer, as a close with data unread brings.
+            # Closing with unread data makes the kernel send a reset, which can destroy the answer on its way.
+            # So only the write side is closed now.
             self.transport.write_eof()
             self.owner.loop.call_later(LINGER_S, self._end_linger)
         else:
-            self.transport.close()  # what was written is sent first
+            self.transport.close()  # the transport sends what was written before it closes
 
     def _end_linger(self) -> None:
         """Close the connection, unless the answer is still unsent: then ``check_timeouts`` closes it."""
@@ -302,40 +314,42 @@
             self.transport.abort()
 
     def _is_last_answer(self) -> bool:
-        """While ending: whether this answer is the last, as no further request has come, or begun to.
+        """Whether no further request has arrived or begun to, so that this answer may end the connection.
 
-        Guards against dropping a request that was taken, as a client that writes ahead has several here.
+        Asked during the shutdown.  A client that pipelines may have several requests here, and each that has
+        arrived is owed an answer.
         """
         return not (
             self.pending or self.receiving or (self.owner.keeps_reading() and self.has_unread_input())
         )
 
     def has_abandoned_request(self) -> bool:
-        """Whether the client has gone while a request of its waits that is held, or that it wrote ahead.
+        """Whether the client has disconnected while a request of its is in flight or next to be handled.
 
-        Guards against sending on what nobody waits for: a connection that is not read tells of no end.
+        While reading is paused the transport doesn't report a disconnect, and the request would be sent to a
+        server though nobody waits for its answer.
         """
         ahead = self.reading_paused and bool(self.pending) and isinstance(self.pending[0], Message)
         return (self.request_id is not None or ahead) and self.has_disconnected()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its connection, or its side of it, be it read or not."""
+        """Whether the client has closed its connection or its write side, even if that was not read yet."""
         if self.transport is None or self.transport.is_closing():
             return True
-        ends = select.poll()
-        ends.register(self.socket, select.POLLRDHUP)
+        poller = select.poll()
+        poller.register(self.socket, select.POLLRDHUP)
         try:
-            return bool(ends.poll(0))
+            return bool(poller.poll(0))
         except OSError:
-            return False  # not known for now: whoever has not gone is owed an answer
+            return False  # unknown for the moment; a client that may still be there is owed an answer
 
     def disconnect_may_be_hidden(self) -> bool:
-        """Whether the client may have closed its connection, unseen for what it sent ahead."""
+        """Whether so much input is unread that a close behind it would not be visible to the kernel."""
         if not self.reading_paused:
             return False
-        enough = HIDDEN_CLOSE_REJECTED_BYTES if self.reading_stopped else HIDDEN_CLOSE_BYTES
+        threshold = HIDDEN_DISCONNECT_REJECTED_BYTES if self.reading_stopped else HIDDEN_DISCONNECT_BYTES
         try:
-            return len(self.socket.recv(enough, socket.MSG_PEEK)) == enough
+            return len(self.socket.recv(threshold, socket.MSG_PEEK)) == threshold
         except OSError:
             return False
 
@@ -344,7 +358,7 @@
         self.held_body_bytes = 0
 
     def check_timeouts(self, now: int) -> None:
-        """Guards against clients that connect and say nothing, stop half way, or never read or ask again."""
+        """Close or reject a client that is silent, stops within a request, or does not read its answer."""
         transport, waited = self.transport, now - self.state_since_ns
         if transport is not None and self.has_abandoned_request():
             transport.abort()
@@ -364,34 +378,34 @@
             transport.close()
 
     def reject_incomplete(self) -> None:
-        """Refuse a request that has not come whole, as its rest would come too late.
+        """Reject an incomplete request during the shutdown, as the rest of it would come too late.
 
-        Guards against refusing one whose rest has come: it is read in the loop's next turn.
+        Not if unread input is there: it may be the rest, and is read in the loop's next turn.
         """
         if self.receiving and self.request_id is None and not self.closing and not self.has_unread_input():
             self._reject(RequestRejected(503, "shutting down: send it to another gateway"))
             self._handle_next()
 
     def has_unsent_output(self) -> bool:
-        """Whether a part of an answer waits for the client to read."""
+        """Whether a part of an answer is still in the transport's write buffer."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def is_idle(self) -> bool:
-        """Whether it is between requests.
+        """Whether it is between requests and all answers are sent.
 
-        Guards against closing on an answer that is still to be read, which the close would wait for.
+        With an answer unsent, a close would wait for the client to read it and free no room until then.
         """
         return self.has_no_request() and not self.has_unsent_output()
 
     def has_no_request(self) -> bool:
-        """Whether no request is being read here, or was read and waits for its turn."""
+        """Whether no request is being received or pending; one may be in flight."""
         return not self.receiving and not self.pending
 
     def has_unread_input(self) -> bool:
-        """Whether something has come that was not read yet, or may have come.
+        """Whether input is unread, or may be.
 
-        Guards against closing on a request while the system cannot tell for a moment.  Any other error has
-        ended the connection, so that nobody waits there.
+        After a retryable error it may be: closing then could drop a request.  Any other error means that the
+        connection is broken and nobody waits for an answer.
         """
         try:
             return bool(self.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
