--- a/gingerworks/__init__.py
+++ b/gingerworks/__init__.py
@@ -1,4 +1,7 @@
-"""gingerworks: decisions of gateways that meter many customers' use of one shared service."""
+"""Gateways that meter many customers' use of one shared service.
+
+This package exports the decision module ``Policy`` and the types of its settings, events and actions.
+"""
 
 from gingerworks.interface import (
     Action,
--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -1,4 +1,8 @@
-"""Requests in flight and their attempts: what may have run, and where another attempt is safe."""
+"""Requests in flight and their attempts.
+
+Keeps which attempts may have run, that is, may have had their effect on a server.  This decides whether the
+client may be told to try again, and on which servers another attempt is safe.
+"""
 
 from __future__ import annotations
 
@@ -8,23 +12,27 @@
 from gingerworks.policy.servers import Backend
 from gingerworks.policy.speculative_admission import UncertainRequest
 
-# The type of a request's customer.  Customers hold requests, so their module imports this one.
+# The type of a request's customer, which is ``customer.Customer``: that module imports this one.
 CustomerT = TypeVar("CustomerT")
 
 
 class Attempt:
-    """One attempt of a request."""
+    """One attempt to have a request served, on one server."""
 
     def __init__(self, backend: Backend, now: int) -> None:
         self.backend = backend
         self.sent_ns = now
         self.in_flight = True
-        self.counts_as_load = True  # as load, until it is overdue
+        self.counts_as_load = True  # until it is overdue
         self.may_have_run = True  # until an outcome proves that it did not
 
 
 class InFlightRequest(Generic[CustomerT]):
-    """A request taken in: its attempts, what may have run and its deadline."""
+    """A request from its arrival until its final answer and the outcomes of all its attempts.
+
+    ``closed`` says that the final answer was given or the client has left, ``streaming`` that an answer has
+    begun.
+    """
 
     def __init__(
         self, request: interface.Request, request_class: interface.RequestClass, customer: CustomerT, now: int
@@ -35,24 +43,29 @@
         self.deadline_ns = now + request.ttl_ns
         self.attempts: list[Attempt] = []
         self.closed = self.streaming = False
-        self.uncertainty: UncertainRequest | None = None  # what was known of its quota, if that was in doubt
+        self.uncertainty: UncertainRequest | None = None  # what was known of its quota, if that was uncertain
 
     def attempts_in_flight(self) -> int:
-        """Attempts without an outcome."""
+        """The number of attempts without an outcome."""
         return sum(attempt.in_flight for attempt in self.attempts)
 
     def may_decline(self) -> bool:
-        """Rule 2: a refusal says that trying again is harmless."""
+        """Whether the request may be refused, which tells the client that trying again is harmless."""
         if self.request_class.effect is interface.Effect.SAFE:
             return True
-        ran = any(attempt.may_have_run for attempt in self.attempts)
-        return not ran or (
+        may_have_run = any(attempt.may_have_run for attempt in self.attempts)
+        return not may_have_run or (
             self.request_class.effect is interface.Effect.KEYED
             and self.request_class.group is interface.DedupGroup.ALL
         )
 
     def allows_attempt_on(self, backend: Backend, arrives_by_ns: int) -> bool:
-        """Rule 2: whether an attempt that comes to this server by then cannot bring a second effect."""
+        """Whether an attempt that arrives at this server by then is certain to cause no second effect.
+
+        It is if the request is safe to repeat, or if no attempt may have run yet.  A keyed request may also be
+        repeated within its window, counted from the first attempt that may have run, on the servers that drop
+        repeats of what that attempt's server has run.
+        """
         first = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
         if first is None or self.request_class.effect is interface.Effect.SAFE:
             return True
@@ -61,7 +74,7 @@
             or arrives_by_ns - first.sent_ns >= self.request_class.window_ns
         ):
             return False
-        here, there = first.backend.entry, backend.entry
+        first_entry, entry = first.backend.entry, backend.entry
         if self.request_class.group is interface.DedupGroup.CELL:
-            return (here.zone, here.cell) == (there.zone, there.cell)
-        return self.request_class.group is interface.DedupGroup.ALL or here.zone == there.zone
+            return (first_entry.zone, first_entry.cell) == (entry.zone, entry.cell)
+        return self.request_class.group is interface.DedupGroup.ALL or first_entry.zone == entry.zone
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -1,4 +1,16 @@
-"""Load shedding: how hard the servers are pressed, and which requests are refused first then."""
+"""Load shedding: estimates how far the servers are overloaded, and refuses the requests of least worth first.
+
+The estimate is the load ratio: the time that this gateway's attempts have recently spent in flight, divided
+by the time that the answers received meanwhile should have taken (the target answer time of each).  By
+Little's law the former grows as soon as requests queue, so the ratio rises before late answers arrive.  When
+it is clearly above 1, a request is refused with a probability that grows with the ratio.  Requests are ranked
+by worth per work: the more of the offered work is worth more than a request's, the likelier it is refused.
+
+Whatever slows the servers raises the ratio: overload, lost servers, expensive requests, pauses.  Shedding
+does harm where answers are slow for another reason than load.
+
+Times and durations are nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -7,63 +19,68 @@
 from gingerworks import interface
 from gingerworks.policy.constants import SECOND, TARGET_AIM_FRACTIONS
 
-LOAD_MEMORY_NS = 3 * SECOND  # memory of the load: several answers at a gateway of few requests
-PRIOR_ANSWERS = 40.0  # unpressed ones taken for granted: as many vary by a tenth if work varies by its mean
-CHANCE = 1.1  # times the time allowed, that is: so far it strays without overload, as the prior tells
-SHED_POWER = 12.0  # a tenth too much time refuses half of the middling requests: queues cost most
-VALUE_MEMORY = 0.99  # of the offered worth, a request: a hundred requests tell what is dear and what is not
+LOAD_MEMORY_NS = 3 * SECOND  # over which load is remembered: several answers at a gateway of few requests
+# Answers in the target time that are assumed in addition to those seen.  With so many, the load ratio varies
+# by a tenth at random if the work of requests varies by as much as its mean.
+PRIOR_ANSWERS = 40.0
+LOAD_RATIO_TOLERANCE = 1.1  # random variation without overload reaches about this ratio, given the prior
+# A ratio a tenth above the tolerance refuses half of the requests of middle rank: queues cost the most.
+SHED_EXPONENT = 12.0
+OFFER_MEMORY = 0.99  # of offered work and worth, kept at each request: the ranks rest on about a hundred
 
 
 class LoadShedder:
-    """How hard the back end is pressed, and who is refused first then: the least worth for its work.
-
-    Weighs the time that attempts spend out against the time that answers should take (Little's law), so it
-    rises before late answers come.  Whatever slows the back end raises it: overload, lost servers, dear
-    requests, pauses.  It does harm where slow answers are not a matter of load.
-    """
+    """The load ratio of one gateway, and the probability with which a request passes at that ratio."""
 
     def __init__(self, settings: interface.Settings, now: int) -> None:
         self.attempts_in_flight = 0
         self.time_in_flight_ns = self.time_allowed_ns = 0.0
-        # Guards against a gateway of few requests, as each is in a large fleet, taking chance for overload.
+        # Added to both times: otherwise a gateway with few requests, as each has in a large fleet, would take
+        # random variation for overload.
         self.prior_ns = (
             PRIOR_ANSWERS
             * TARGET_AIM_FRACTIONS[0]
             * min(request_class.aim_ns for request_class in settings.classes)
         )
         self.updated_ns = now
+        # Recently offered work and worth of each request class and plan.
         self.offered_work_and_worth = {
             (c.name, p.name): [0.0, 0.0] for c in settings.classes for p in settings.plans
         }
 
     def adjust_in_flight(self, change: int, now: int) -> None:
-        """Book a change of what is out."""
-        gone = now - self.updated_ns
-        fade = math.exp(-gone / LOAD_MEMORY_NS)
-        self.time_in_flight_ns = self.time_in_flight_ns * fade + self.attempts_in_flight * gone
+        """Add the time since the last call, and change the number of attempts in flight from now on."""
+        elapsed = now - self.updated_ns
+        fade = math.exp(-elapsed / LOAD_MEMORY_NS)
+        self.time_in_flight_ns = self.time_in_flight_ns * fade + self.attempts_in_flight * elapsed
         self.time_allowed_ns *= fade
         self.updated_ns = now
         self.attempts_in_flight += change
 
     def load_ratio(self, now: int) -> float:
-        """Time spent out over time allowed; above 1 the back end is pressed."""
+        """Time in flight divided by the time allowed; above 1 the servers are overloaded."""
         self.adjust_in_flight(0, now)
         return (self.time_in_flight_ns + self.prior_ns) / (self.time_allowed_ns + self.prior_ns)
 
     def pass_probability(
         self, request_class: interface.RequestClass, plan: interface.Plan, units: float, work: float, now: int
     ) -> float:
-        """The part of such requests that may pass: the least worth for its work is refused first."""
-        for row in self.offered_work_and_worth.values():
-            row[0] *= VALUE_MEMORY
-            row[1] *= VALUE_MEMORY
-        mine = self.offered_work_and_worth[request_class.name, plan.name]
-        mine[0] += work
-        mine[1] += request_class.worth * plan.price * units
-        value = mine[1] / mine[0]
-        total = sum(row[0] for row in self.offered_work_and_worth.values())
-        dearer = sum(
-            row[0] for row in self.offered_work_and_worth.values() if row[0] > 0 and row[1] / row[0] > value
+        """Record a request; the probability with which it may pass, least for the least worth per work.
+
+        ``work`` is the mean answer time of its class, as a measure of the work that it causes.
+        """
+        for offer in self.offered_work_and_worth.values():
+            offer[0] *= OFFER_MEMORY
+            offer[1] *= OFFER_MEMORY
+        own = self.offered_work_and_worth[request_class.name, plan.name]
+        own[0] += work
+        own[1] += request_class.worth * plan.price * units
+        worth_per_work = own[1] / own[0]
+        total = sum(offer[0] for offer in self.offered_work_and_worth.values())
+        work_worth_more = sum(
+            offer[0]
+            for offer in self.offered_work_and_worth.values()
+            if offer[0] > 0 and offer[1] / offer[0] > worth_per_work
         )
-        rank = (dearer + 0.5 * mine[0]) / total
-        return math.pow(max(1.0, self.load_ratio(now) / CHANCE), -SHED_POWER * rank)
+        rank = (work_worth_more + 0.5 * own[0]) / total
+        return math.pow(max(1.0, self.load_ratio(now) / LOAD_RATIO_TOLERANCE), -SHED_EXPONENT * rank)
