--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -1,4 +1,11 @@
-"""Drives the decision module: events in, actions carried out, and the state of each request in flight."""
+"""Connects the policy to the rest of the gateway.
+
+The policy (``gingerworks.policy``) takes all decisions: it is given events and returns actions.  ``Runtime``
+is its only caller.  It collects the events of one turn of the event loop (requests, ends of attempts, changes
+of the server list, timers, answers of the shared counter), passes them to the policy together, and carries
+out the actions that it returns.  It also keeps the state of each request in flight: its client, what to send
+to a server, and its attempts.
+"""
 
 from __future__ import annotations
 
@@ -19,34 +26,36 @@
 from gingerworks.gateway.server_starts import ServerStarts
 from gingerworks.policy import Policy
 
-ANSWER_MARGIN_NS = 20 * clock.NS_PER_MS  # of the client's wait: for the way there and back and a busy loop
-UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS  # to come back with a request that was not looked at
-ANSWER_MARGIN_SHARE = 0.25  # ... but no more than this part of a short wait
+# A request is answered this much before its client stops waiting, which leaves time for the network and for
+# delays in a busy event loop.
+ANSWER_MARGIN_NS = 20 * clock.NS_PER_MS
+UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS  # advice to a client whose request was not sent to a server
+ANSWER_MARGIN_SHARE = 0.25  # for a short wait the margin is this share of it at the most
 
 log = logging.getLogger(__name__)
 
 
 class Client(Protocol):
-    """Whoever waits for the answer to a request; told exactly once, unless it left first."""
+    """The client of a request; it gets exactly one final answer, unless it disconnects first."""
 
     def send_answer(self, answer: Answer) -> None:
-        """Pass on a server's answer."""
+        """Forward a server's answer."""
 
     def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
-        """Say that trying again is harmless, and when."""
+        """Refuse the request, which may safely be sent again; ``sent_on`` tells if a server was tried."""
 
     def send_failure(self) -> None:
-        """Say that it failed, with no promise."""
+        """Report that the request failed and may have run."""
 
     def has_disconnected(self) -> bool:
-        """Whether it has left, also where that was not read yet."""
+        """Whether the client has closed its connection, even if the event loop has not read that yet."""
 
     def disconnect_may_be_hidden(self) -> bool:
-        """Whether it might have left without that being seen, for all that it has sent ahead."""
+        """Whether unread data from the client could hide that it has closed its connection."""
 
 
 class InFlightRequest:
-    """A request that was taken: whom it is for, what to send on, and its attempts."""
+    """A request in flight: its client, what to send to a server, and its attempts."""
 
     __slots__ = (
         "attempts",
@@ -61,42 +70,42 @@
     )
 
     def __init__(
-        self, client: Client, request: interface.Request, head: bytes, body: bytes, deadline: int
+        self, client: Client, request: interface.Request, head: bytes, body: bytes, deadline_ns: int
     ) -> None:
-        """``head`` lacks the time left and the empty line."""
+        """``head`` is the head of the request without ``X-Time-Left`` and the final empty line."""
         self.client = client
         self.request = request
         self.head = head
         self.body = body
-        self.awaits_answer = True  # until it has its final answer or the client has gone
-        self.attempts: list[Attempt | None] = []
+        self.awaits_answer = True  # until it has its final answer or the client has disconnected
+        self.attempts: list[Attempt | None] = []  # by number; none for those that have ended
         self.open_attempts = 0
-        self.may_have_run = False  # one of its attempts may have
-        self.deadline_ns = deadline  # of the client, or of the shutdown if that is sooner
+        self.may_have_run = False  # whether one of its attempts may have run on a server
+        self.deadline_ns = deadline_ns  # the client's, or the shutdown's if that is sooner
 
     def remaining_ns(self) -> int:
-        """What is left of the client's time."""
+        """The time until the deadline."""
         return self.deadline_ns - clock.now()
 
     def render(self, left_ns: int) -> bytes:
-        """The request as it goes to a server, with the time that the gateway will wait.
+        """The bytes to send to a server, with the time that the gateway will wait for the answer.
 
-        Guards against telling more than the client has left: between the decision and this the process may
-        have been held up.
+        That time is limited by the client's deadline, as the process may have been delayed since the policy
+        decided on the attempt.
         """
-        left = max(min(left_ns, self.remaining_ns()), clock.NS_PER_MS) / clock.NS_PER_S
-        return b"%bX-Time-Left: %.3f\r\n\r\n%b" % (self.head, left, self.body)
+        left_s = max(min(left_ns, self.remaining_ns()), clock.NS_PER_MS) / clock.NS_PER_S
+        return b"%bX-Time-Left: %.3f\r\n\r\n%b" % (self.head, left_s, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestSubmitted:
-    """A request waits to be given to the module: how much time it has left is told only then."""
+    """A request that waits to be passed to the policy; the time that it has left is computed only then."""
 
-    number: int
+    request_id: int
 
 
 class Runtime:
-    """The only caller of the module."""
+    """Passes events to the policy, carries out its actions and keeps the requests in flight."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config, backends: Backends) -> None:
         self._loop = loop
@@ -110,24 +119,24 @@
         self._last_request_id = 0
         self._pending_events: list[interface.Event | RequestSubmitted] = []
         self._handling_scheduled = False
-        self._answers_due_ns: int | None = None  # from the start of the shutdown on
-        # Requests that may be forgotten once the module has been told of their end.
+        self._answers_due_ns: int | None = None  # set when the shutdown starts
+        # Requests to be removed from ``_in_flight`` once the policy has been informed of their end.
         self._ended_requests: list[int] = []
         self._action_handlers: dict[type, Callable[..., None]] = {
             interface.Assign: self._start_attempt,
             interface.CancelAttempt: self._cancel_attempt,
-            interface.Decline: self._answer_refused,
-            interface.Fail: self._answer_failed,
+            interface.Decline: self._refuse_request,
+            interface.Fail: self._fail_request,
             interface.Wake: self._set_timer,
             interface.Count: self._call_counter,
-            interface.Watch: lambda action: None,  # the list is always watched
+            interface.Watch: lambda action: None,  # the gateway always watches the list
             interface.Log: lambda action: log.warning("%s", action.text),
         }
         self.counter: Counter | None = None
         self.use_counter(config.counter)
 
     def use_counter(self, address: Address | None) -> None:
-        """Make further calls at this counter; those that are out at the former one end there."""
+        """Use this shared counter from now on; calls in flight on the former one end there."""
         if self.counter is not None:
             self.counter.retire()
         self.counter = None
@@ -137,7 +146,7 @@
             self.counter.connect()
 
     def close(self) -> None:
-        """Let go of the counter."""
+        """Close the connection to the counter."""
         if self.counter is not None:
             self.counter.close()
 
@@ -147,40 +156,41 @@
         request: interface.Request,
         head: bytes,
         body: bytes,
-        arrived_at: int | None = None,
+        arrived_at_ns: int | None = None,
     ) -> int:
-        """A client's request has come whole; the id for ``cancelled`` is returned.
+        """Accept a complete request of a client and return its id, which ``cancel_request`` takes.
 
-        ``request.id`` is set here, and ``request.ttl_ns`` is what the client stated as the request came.
+        The id in ``request`` is ignored; its ``ttl_ns`` counts from the request's arrival, at
+        ``arrived_at_ns``.
         """
         self._last_request_id += 1
-        number, now = self._last_request_id, clock.now()
-        waited = 0 if arrived_at is None else now - arrived_at
-        left = min(request.ttl_ns - waited, self._classes[request.class_name].deadline_ns)
-        deadline = now + left - int(min(ANSWER_MARGIN_NS, ANSWER_MARGIN_SHARE * max(0, left)))
+        request_id, now = self._last_request_id, clock.now()
+        waited_ns = 0 if arrived_at_ns is None else now - arrived_at_ns
+        left_ns = min(request.ttl_ns - waited_ns, self._classes[request.class_name].deadline_ns)
+        deadline_ns = now + left_ns - int(min(ANSWER_MARGIN_NS, ANSWER_MARGIN_SHARE * max(0, left_ns)))
         if self._answers_due_ns is not None:
-            deadline = min(deadline, self._answers_due_ns)
-        self._in_flight[number] = InFlightRequest(client, request, head, body, deadline)
-        self._post(RequestSubmitted(number))
-        return number
+            deadline_ns = min(deadline_ns, self._answers_due_ns)
+        self._in_flight[request_id] = InFlightRequest(client, request, head, body, deadline_ns)
+        self._post(RequestSubmitted(request_id))
+        return request_id
 
     def begin_shutdown(self, answers_due_ns: int) -> None:
-        """The gateway shuts down: requests have their answers by then, and no attempt begins later."""
+        """Limit all deadlines to this time, when a shutdown needs all answers; no attempt starts later."""
         self._answers_due_ns = answers_due_ns
         for inflight in self._in_flight.values():
             inflight.deadline_ns = min(inflight.deadline_ns, answers_due_ns)
         self._post(interface.ShutdownStarted(answers_due_ns))
 
-    def cancel_request(self, number: int) -> None:
-        """The client has gone."""
-        inflight = self._in_flight.get(number)
+    def cancel_request(self, request_id: int) -> None:
+        """End a request without an answer, as its client has disconnected."""
+        inflight = self._in_flight.get(request_id)
         if inflight is not None and inflight.awaits_answer:
             inflight.awaits_answer = False
-            self._ended_requests.append(number)
-            self._post(interface.RequestCancelled(number))
+            self._ended_requests.append(request_id)
+            self._post(interface.RequestCancelled(request_id))
 
     def update_servers(self, change: Change, cached: bool = False) -> None:
-        """Discovery, or what was known at the start, tells of servers."""
+        """Apply a server list or a change of it, from discovery or (if ``cached``) the configuration."""
         change = self._server_starts.corrected(change, cached)
         self._backends.update_servers(change)
         mode = (
@@ -193,7 +203,7 @@
         self._post(interface.ServersChanged(mode, tuple(endpoint.server for endpoint in change.endpoints)))
 
     def _post(self, event: interface.Event | RequestSubmitted) -> None:
-        """Queue an event: the module sees all of one turn of the loop at once."""
+        """Queue an event; the policy gets all events of one turn of the event loop at once."""
         self._pending_events.append(event)
         if not self._handling_scheduled:
             self._handling_scheduled = True
@@ -203,48 +213,49 @@
         self._handling_scheduled = False
         now = clock.now()
         events, self._pending_events = self._pending_events, []
-        done, self._ended_requests = self._ended_requests, []
+        ended_requests, self._ended_requests = self._ended_requests, []
         try:
             actions = self._policy.handle(now, [self._current_event(now, event) for event in events])
         except Exception:
-            log.exception("the module failed; what was in flight is answered as failed, and it starts anew")
+            log.exception("the policy raised an exception; failing all requests in flight and restarting it")
             self._restart_policy()
             return
         for action in actions:
             try:
                 self._action_handlers[type(action)](action)
             except Exception:
-                # Guards against one request's fault ending the others.
-                log.exception("could not carry out %s", action)
-                number = getattr(action, "id", None)
-                if number is not None and number in self._in_flight:
-                    self._fail_after_error(number, self._in_flight[number])
-        # Guards against an attempt that the module asks for before it hears, in that turn, that the client
-        # has gone: while the request is still known here, the attempt's end can be told by its right number.
-        for number in done:
-            inflight = self._in_flight.get(number)
+                # An error in one request must not end the others.
+                log.exception("error while carrying out %s", action)
+                request_id = getattr(action, "id", None)
+                if request_id is not None and request_id in self._in_flight:
+                    self._fail_after_error(request_id, self._in_flight[request_id])
+        # Requests that had ended before this turn are removed only now.  The policy may just have asked for
+        # an attempt of one, not yet informed that its client has disconnected; the request must still be
+        # known here then, so that the end of that attempt is reported with the right number.
+        for request_id in ended_requests:
+            inflight = self._in_flight.get(request_id)
             if inflight is not None and not inflight.awaits_answer and not inflight.open_attempts:
-                del self._in_flight[number]
+                del self._in_flight[request_id]
 
     def _current_event(self, now: int, event: interface.Event | RequestSubmitted) -> interface.Event:
-        """The event; a request with the time that is left now, as it may have been queued for long."""
+        """The event for the policy; a request gets the time that it still has after waiting in the queue."""
         if not isinstance(event, RequestSubmitted):
             return event
-        inflight = self._in_flight[event.number]
-        asked = inflight.request
+        inflight = self._in_flight[event.request_id]
+        request = inflight.request
         return interface.Request(
-            id=event.number,
-            class_name=asked.class_name,
-            plan=asked.plan,
-            customer=asked.customer,
-            entries=asked.entries,
+            id=event.request_id,
+            class_name=request.class_name,
+            plan=request.plan,
+            customer=request.customer,
+            entries=request.entries,
             ttl_ns=inflight.deadline_ns - now,
-            units=asked.units,
-            is_retry=asked.is_retry,
+            units=request.units,
+            is_retry=request.is_retry,
         )
 
     def _restart_policy(self) -> None:
-        """A module that has raised knows no longer what is out: begin as after a restart."""
+        """Fail all requests and start a new policy; one that has raised may have lost track of attempts."""
         for inflight in list(self._in_flight.values()):
             for attempt in inflight.attempts:
                 if attempt is not None:
@@ -260,82 +271,87 @@
         if self._answers_due_ns is not None:
             self._post(interface.ShutdownStarted(self._answers_due_ns))
 
-    def _fail_after_error(self, number: int, inflight: InFlightRequest) -> None:
+    def _fail_after_error(self, request_id: int, inflight: InFlightRequest) -> None:
+        """Fail a request one of whose actions raised an exception."""
         if inflight.awaits_answer:
             inflight.awaits_answer = False
             inflight.client.send_failure()
-            self._post(interface.RequestCancelled(number))
-        # Guards against an attempt that never began being taken for one that is out, here and in the module.
+            self._post(interface.RequestCancelled(request_id))
+        # An attempt that could not be started must not count as one in flight, here or in the policy.
         for attempt_number, attempt in enumerate(inflight.attempts):
             if attempt is not None:
                 self._backends.abandon(attempt)
                 self._attempt_ended(
-                    number, inflight, attempt_number, attempt, interface.Status.CANCELLED, None
+                    request_id, inflight, attempt_number, attempt, interface.Status.CANCELLED, None
                 )
-        self._ended_requests.append(number)
+        self._ended_requests.append(request_id)
 
     def _start_attempt(self, action: interface.Assign) -> None:
         inflight = self._in_flight.get(action.id)
         if inflight is None:
-            return None  # lost to a fault: the module was told that its client has gone
-        number = len(inflight.attempts)
+            return None  # failed after an error; the policy was informed that it is cancelled
+        attempt_number = len(inflight.attempts)
 
-        def wanted() -> bool:
+        def may_start() -> bool:
             return self._may_start(action.id, inflight)
 
-        def ended(attempt: Attempt, status: interface.Status, answer: Answer | None) -> None:
-            self._attempt_ended(action.id, inflight, number, attempt, status, answer)
+        def on_end(attempt: Attempt, status: interface.Status, answer: Answer | None) -> None:
+            self._attempt_ended(action.id, inflight, attempt_number, attempt, status, answer)
 
-        attempt = Attempt(action.server, action.timeout_ns / clock.NS_PER_S, inflight.render, wanted, ended)
+        attempt = Attempt(
+            action.server, action.timeout_ns / clock.NS_PER_S, inflight.render, may_start, on_end
+        )
         inflight.attempts.append(attempt)
         inflight.open_attempts += 1
         return self._backends.start(attempt)
 
-    def _may_start(self, number: int, inflight: InFlightRequest) -> bool:
-        """Whether an attempt may still begin: the client waits for it, and has time left.
+    def _may_start(self, request_id: int, inflight: InFlightRequest) -> bool:
+        """Whether an attempt may still start: the client waits for the answer and has time left.
 
-        Guards against sending on what nobody waits for: a close may lie unread behind a turn's other work,
-        behind what the client wrote ahead, or behind the request itself where that was accepted late.
+        A request whose client has disconnected must not be sent to a server.  The disconnect may not have
+        been read yet, because of other work in this turn, because the client has sent further data before it,
+        or because its connection was accepted late, with both the request and the disconnect already there.
         """
         if inflight.awaits_answer and inflight.client.has_disconnected():
-            self.cancel_request(number)
+            self.cancel_request(request_id)
         if inflight.awaits_answer and inflight.client.disconnect_may_be_hidden():
             if inflight.open_attempts > 1:
-                return False  # another attempt is out and may still be answered
-            self._end_unseen(number, inflight)
+                return False  # another attempt is in flight and may still be answered
+            self._end_possibly_disconnected(request_id, inflight)
         return inflight.awaits_answer and inflight.remaining_ns() > 0
 
-    def _end_unseen(self, number: int, inflight: InFlightRequest) -> None:
-        """End a request whose client may have left unseen: refused, unless an attempt may have run."""
+    def _end_possibly_disconnected(self, request_id: int, inflight: InFlightRequest) -> None:
+        """Refuse a request whose client may have disconnected, or fail it if an attempt may have run."""
         limits = self._config.settings.limits
         if inflight.may_have_run:
             inflight.client.send_failure()
         else:
-            most = limits.max_retry_after_ns if limits.retry_after else 0
-            inflight.client.send_refusal(min(UNSENT_RETRY_AFTER_NS, most), False)
-        self.cancel_request(number)
+            max_retry_after_ns = limits.max_retry_after_ns if limits.retry_after else 0
+            inflight.client.send_refusal(min(UNSENT_RETRY_AFTER_NS, max_retry_after_ns), False)
+        self.cancel_request(request_id)
 
     def _attempt_ended(
         self,
-        request: int,
+        request_id: int,
         inflight: InFlightRequest,
-        number: int,
+        attempt_number: int,
         attempt: Attempt,
         status: interface.Status,
         answer: Answer | None,
     ) -> None:
-        inflight.attempts[number] = None
+        """Report the end of an attempt to the policy; forward the request's first answer to its client."""
+        inflight.attempts[attempt_number] = None
         inflight.open_attempts -= 1
         inflight.may_have_run = inflight.may_have_run or not status.never_ran
-        first = status is interface.Status.DELIVERED and inflight.awaits_answer
-        if first:
+        is_first_answer = status is interface.Status.DELIVERED and inflight.awaits_answer
+        if is_first_answer:
             assert answer is not None
             inflight.awaits_answer = False
             inflight.client.send_answer(answer)
         self._post(
             interface.Outcome(
-                id=request,
-                attempt=number,
+                id=request_id,
+                attempt=attempt_number,
                 status=status,
                 elapsed_ns=clock.now() - attempt.started_at_ns,
                 terminal=not inflight.awaits_answer,
@@ -343,7 +359,7 @@
                 report=answer.report if answer is not None else (),
             )
         )
-        self._ended_requests.append(request)
+        self._ended_requests.append(request_id)
 
     def _cancel_attempt(self, action: interface.CancelAttempt) -> None:
         inflight = self._in_flight.get(action.id)
@@ -355,39 +371,48 @@
         if attempt is not None:
             self._backends.cancel(attempt)
 
-    def _answer_refused(self, action: interface.Decline) -> None:
+    def _refuse_request(self, action: interface.Decline) -> None:
         inflight = self._in_flight.get(action.id)
         if inflight is not None and inflight.awaits_answer:
             inflight.awaits_answer = False
             inflight.client.send_refusal(action.retry_after_ns, bool(inflight.attempts))
-            self._drop_stalled_connections(action.id, inflight)
+            self._finish_unanswered(action.id, inflight)
 
-    def _answer_failed(self, action: interface.Fail) -> None:
+    def _fail_request(self, action: interface.Fail) -> None:
         inflight = self._in_flight.get(action.id)
         if inflight is not None and inflight.awaits_answer:
             inflight.awaits_answer = False
             inflight.client.send_failure()
-            self._drop_stalled_connections(action.id, inflight)
+            self._finish_unanswered(action.id, inflight)
 
-    def _drop_stalled_connections(self, number: int, inflight: InFlightRequest) -> None:
+    def _finish_unanswered(self, request_id: int, inflight: InFlightRequest) -> None:
+        """Clean up after a request that the policy has refused or failed."""
         for attempt in inflight.attempts:
             if attempt is not None:
-                self._backends.close_idle(attempt.server)  # it did not answer in the client's time
-        self._ended_requests.append(number)
+                # The server did not answer in the client's time, so idle connections to it may be dead.
+                self._backends.close_idle(attempt.server)
+        self._ended_requests.append(request_id)
 
     def _set_timer(self, action: interface.Wake) -> None:
-        self._fire_timer(clock.now() + action.after_ns, action.token)
+        self._post_timer_when_due(clock.now() + action.after_ns, action.token)
+
+    def _post_timer_when_due(self, due_ns: int, token: int) -> None:
+        """Post the timer's event if it is due, or else check again later.
 
-    def _fire_timer(self, due: int, token: int) -> None:
-        """Guards against timers that ring early: the loop's clock is coarse, and the module sets one once."""
-        left = due - clock.now()
-        if left <= 0:
+        The event loop's clock is coarse and may fire early, while the policy sets each timer only once and
+        must not get its event before it is due.
+        """
+        left_ns = due_ns - clock.now()
+        if left_ns <= 0:
             self._post(interface.Timer(token))
         else:
-            self._loop.call_later(math.ceil(left / clock.NS_PER_MS) / 1000, self._fire_timer, due, token)
+            self._loop.call_later(
+                math.ceil(left_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
+            )
 
     def _call_counter(self, action: interface.Count) -> None:
-        # Guards against a second quota under names that this machine's clock alone gives the counts.
+        # The names of shared counts are derived from the time.  If this machine's clock disagrees with the
+        # other gateways', its calls would go to other names, and customers would get their quota twice.
         if self.counter is not None and self._server_starts.clock_check.agrees:
             self.counter.call(action)
         else:
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -483,7 +483,7 @@
         made.runtime._policy.handle = broken  # type: ignore[method-assign, assignment]
         assert (await other.send(ask()))[0] == 502
         assert (await client.answer())[0] == 502
-        assert "the module failed" in caplog.text
+        assert "the policy raised an exception" in caplog.text
         await until(lambda: server.requests[1:] == [b""])
         server.script = good.script
         assert (await client.send(ask()))[0] == 200
@@ -499,7 +499,7 @@
         made.runtime._post = lambda event: rung.append((event.token, clock.now()))  # type: ignore
         due = [clock.now() + after for after in range(100_000, 60_000_000, 1_370_000)]
         for number, at in enumerate(due):
-            made.runtime._fire_timer(at, number)
+            made.runtime._post_timer_when_due(at, number)
         time.sleep(0.005)
         await until(lambda: len(rung) == len(due))
         assert all(at >= due[number] for number, at in rung)
