--- a/gingerworks/gateway/client_table.py
+++ b/gingerworks/gateway/client_table.py
@@ -1,4 +1,8 @@
-"""The table of clients' connections: its bound, the state of each, and whom to close for room."""
+"""The table of client connections: how many may be open, the state of each, and which to close for room.
+
+A connection is new (nothing was asked on it yet), busy, idle (between requests) or closing (its last answer
+is written).  When the table is full, or descriptors run out, ``make_room`` closes some that matter least.
+"""
 
 from __future__ import annotations
 
@@ -8,26 +12,25 @@
 from gingerworks.gateway import clock
 from gingerworks.gateway.client import ClientConnection
 
-EVICTIONS_PER_ROUND = 8
-EVICTION_GRACE_NS = (
-    50 * clock.NS_PER_MS
-)  # for a new client to ask, or one that leaves to read why, when room is short
+EVICTIONS_PER_ROUND = 8  # closed by one call of ``make_room``
+# Before eviction: for a new client to send its request, or for one with its last answer to read it.
+EVICTION_GRACE_NS = 50 * clock.NS_PER_MS
 
 
 class ClientTable:
-    """All open connections of clients, at most ``budget``; the longest in their state come first in each."""
+    """All open client connections, at most ``budget``; each state lists those first that entered it first."""
 
     def __init__(self, budget: int) -> None:
         self.budget = budget
         self.open: set[ClientConnection] = set()
-        self.new: dict[ClientConnection, None] = {}  # they have not asked yet
+        self.new: dict[ClientConnection, None] = {}  # no request was handled on them yet
         self.idle: dict[ClientConnection, None] = {}  # between requests
-        self.closing: dict[ClientConnection, None] = {}  # told the last that they will be told
-        self.evicted: set[ClientConnection] = set()  # closed for room, and not ended yet
+        self.closing: dict[ClientConnection, None] = {}  # their last answer is written
+        self.evicted: set[ClientConnection] = set()  # closed to make room, and not yet ended
 
     @property
     def full(self) -> bool:
-        """Whether no further connection may be opened."""
+        """Whether no further connection may be accepted."""
         return len(self.open) >= self.budget
 
     def add(self, client: ClientConnection) -> None:
@@ -36,12 +39,12 @@
         self.new[client] = None
 
     def request_started(self, client: ClientConnection) -> None:
-        """A request is being handled there."""
+        """A request is being handled on this connection."""
         self.new.pop(client, None)
         self.idle.pop(client, None)
 
     def remove(self, client: ClientConnection) -> None:
-        """The connection is no more."""
+        """This connection has ended."""
         self.open.discard(client)
         self.evicted.discard(client)
         self._remove_from_states(client)
@@ -51,54 +54,59 @@
             state.pop(client, None)
 
     def no_request_pending(self) -> bool:
-        """Whether no connection holds a whole request that has no answer yet."""
+        """Whether no connection has a complete request that is not answered yet."""
         return not any(client.request_id or client.pending for client in self.open)
 
     def close_idle(self) -> None:
-        """Close those between requests, and those that have not asked."""
+        """Close the idle connections, and the new ones with no request."""
         for client in [*self.new, *self.idle]:
-            # Guards against closing on a request that has come but was not read yet: it counts as taken.
+            # Unread input may be a request, which is owed an answer.
             if client.transport is not None and client.has_no_request() and not client.has_unread_input():
                 client.transport.close()
 
     def reject_incomplete(self) -> None:
-        """Refuse the requests that have not come whole."""
+        """Reject the requests that are still incomplete."""
         for client in list(self.open):
             client.reject_incomplete()
 
     def make_room(self) -> None:
-        """Close connections, those first that matter least.
+        """Close up to ``EVICTIONS_PER_ROUND`` connections, of the first of these groups that has any.
+
+        1. closing ones, whose clients have had time to read the last answer;
+        2. new ones that have sent nothing, after the time of grace;
+        3. idle ones, whose clients have sent requests before and may do so again;
+        4. those with an incomplete request, after the time of grace.
 
-        Guards against hundreds that connect and say nothing, or hold on to a refusal, shutting out who asks:
-        they go before clients that have asked and may ask again, and these before a request that has begun.
-        Only where newcomers fill half of the table are they waited for: else one that has just come would
-        keep all others waiting.
+        So hundreds of clients that connect and send nothing, or don't close after a rejection, can't keep out
+        those that send requests.  While silent new connections fill half of the table, the idle ones are
+        spared and the grace of the new ones is waited for.  With fewer that would not be right: each newcomer
+        would delay all clients in the backlog by its grace.
         """
         if self.evicted:
-            return  # there will be room as soon as these have ended
-        before = clock.now() - EVICTION_GRACE_NS
-        if self._evict(client for client in self.closing if client.state_since_ns <= before):
+            return  # their end will make room
+        grace_over = clock.now() - EVICTION_GRACE_NS
+        if self._evict(client for client in self.closing if client.state_since_ns <= grace_over):
             return
         silent = [client for client in self.new if not client.receiving]
-        if self._evict(client for client in silent if client.state_since_ns <= before):
+        if self._evict(client for client in silent if client.state_since_ns <= grace_over):
             return
         if 2 * len(silent) > self.budget or self._evict(client for client in self.idle if client.is_idle()):
             return
         self._evict(
             client
             for client in [*self.new, *self.idle]
-            if client.receiving and not client.has_unsent_output() and client.state_since_ns <= before
+            if client.receiving and not client.has_unsent_output() and client.state_since_ns <= grace_over
         )
 
     def _evict(self, candidates: Iterable[ClientConnection]) -> bool:
-        """Close some of these; whether there was one.
+        """Close up to ``EVICTIONS_PER_ROUND`` of these; returns whether there was one.
 
-        Guards against closing on what has come but was not read yet, and against counting on the end of one
-        that cannot end yet, as it was accepted but is not attached: nobody else would go meanwhile.
+        Those with unread input are spared, as it may be a request.  So are those without a transport yet:
+        they can't be closed, and no other would be evicted as long as ``evicted`` holds one that doesn't end.
         """
         attached = (client for client in candidates if client.transport is not None)
-        owed_nothing = (client for client in attached if not client.pending and not client.has_unread_input())
-        chosen = list(islice(owed_nothing, EVICTIONS_PER_ROUND))
+        evictable = (client for client in attached if not client.pending and not client.has_unread_input())
+        chosen = list(islice(evictable, EVICTIONS_PER_ROUND))
         for client in chosen:
             self._remove_from_states(client)
             self.evicted.add(client)
--- a/gingerworks/gateway/connection_owner.py
+++ b/gingerworks/gateway/connection_owner.py
@@ -1,4 +1,7 @@
-"""What a client's connection needs of its owner, so that it need not import the front end that creates it."""
+"""The interface through which a client connection calls its owner, the front end.
+
+It exists because the front end imports the connection: the connection can't import the front end in turn.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class ConnectionOwner(Protocol[Connection]):
-    """The owner of clients' connections: it keeps their table and carries out their requests."""
+    """Keeps the table of client connections and passes their requests on."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
@@ -19,42 +22,42 @@
 
     @property
     def read_buffer(self) -> memoryview:
-        """Where a connection reads to; shared by all, so what is in it has to be parsed at once."""
+        """The buffer for a connection's next read; shared by all, so each read is parsed at once."""
 
     @property
     def shutting_down(self) -> bool:
-        """Whether the graceful end has begun."""
+        """Whether the graceful shutdown has begun."""
 
     @property
     def backlog_empty_at_ns(self) -> int:
-        """When nobody was last found waiting to be accepted."""
+        """When the listen backlog was last found empty: no connection accepted since is older."""
 
     def connection_attached(self) -> None:
-        """A connection that was accepted can be read now."""
+        """An accepted connection has its transport now."""
 
     def request_started(self, client: Connection) -> None:
         """A request is being handled on this connection."""
 
     def connection_idle(self, client: Connection) -> None:
-        """Nothing is held on this connection; it stays open for the next request."""
+        """All requests on this connection are answered; it stays open for the next one."""
 
     def connection_closing(self, client: Connection) -> None:
-        """This connection was told the last that it will be told."""
+        """The last answer on this connection was written."""
 
     def connection_closed(self, client: Connection) -> None:
-        """This connection is no more."""
+        """This connection has ended."""
 
     def submit_request(self, client: Connection, message: Message) -> int | None:
-        """Check a request and hand it over.
+        """Validate a request and pass it on for handling.
 
-        Returns its number, or none for a health check; raises ``RequestRejected`` where it is malformed.
+        Returns its id, or None for a health check; raises ``RequestRejected`` if it is not valid.
         """
 
-    def request_cancelled(self, number: int) -> None:
-        """The client has left before request ``number`` was answered."""
+    def request_cancelled(self, request_id: int) -> None:
+        """The client of a request has disconnected before the answer."""
 
     def reserve_body_bytes(self, size: int) -> bool:
-        """Count ``size`` more bytes of bodies that are held; false where that would be too many."""
+        """Count body bytes in memory, or release them (``size`` below 0); False if that exceeds the limit."""
 
     def keeps_reading(self) -> bool:
-        """While ending: whether what a connection still holds is waited for."""
+        """During shutdown: whether further requests on open connections are still read."""
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -1,4 +1,12 @@
-"""The clients' side: the listening socket, what their connections ask for, and the graceful shutdown."""
+"""The client side of the gateway: the listening socket, the client connections and the graceful shutdown.
+
+``Frontend`` accepts connections, up to a budget, and owns them: each ``ClientConnection`` reads and answers
+HTTP, and calls back here with its requests and its changes of state.  Requests are validated and passed to
+the runtime, which sends each final answer to the connection.  With the budget used up, or out of descriptors,
+it closes connections that matter least (``ClientTable.make_room``) and leaves newcomers in the listen backlog
+meanwhile.  On SIGTERM it goes on accepting for a while, answers every request that arrives, and sets
+``finished`` once no connection is left or the time until SIGKILL has run out (see ``shutdown.py``).
+"""
 
 from __future__ import annotations
 
@@ -21,43 +29,42 @@
 
 HEALTH_PATH = b"/_health"
 BACKLOG = 4096
-READ_BUFFER_BYTES = 16 * 1024  # at a time, from one client
-MAX_HELD_BODY_BYTES = 8 << 20  # of all requests that are read or held
-ACCEPTS_PER_TURN = 64
-ACCEPT_PAUSE_S = 0.02
-TIMEOUT_CHECK_INTERVAL_S = 0.2  # between looks for clients that have been silent for too long
-INCOMPLETE_REQUEST_WAIT_S = 0.5  # at shutdown: for clients to finish a request that they have begun to send
+READ_BUFFER_BYTES = 16 * 1024  # the most that one read takes from one client
+MAX_HELD_BODY_BYTES = 8 << 20  # of request bodies in memory, over all clients
+ACCEPTS_PER_TURN = 64  # of the event loop
+ACCEPT_PAUSE_S = 0.02  # before the next accept while there is no room, or after an error
+TIMEOUT_CHECK_INTERVAL_S = 0.2  # between checks of all clients' timeouts
+INCOMPLETE_REQUEST_WAIT_S = 0.5  # during shutdown: for clients to complete a request that they have begun
 
 log = logging.getLogger(__name__)
 
 
 class Frontend:
-    """The listening socket and the clients' connections."""
+    """The listening socket and the client connections; see the module's description."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, runtime: Runtime, settings: interface.Settings, budget: int
     ) -> None:
-        """At most ``budget`` connections are open at once; further ones wait until one has ended."""
+        """At most ``budget`` client connections are open at once; further ones wait in the backlog."""
         self.loop = loop
         self.runtime = runtime
         self.finished = asyncio.Event()
-        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))  # shared: what is in it is parsed at once
+        # Shared by all connections: each read is parsed before the next one.
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
         self._validator = RequestValidator(settings)
         self._held_body_bytes = 0
         self.clients = ClientTable(budget)
-        self._timeout_check: asyncio.TimerHandle | None = None
-        self._attaching: set[asyncio.Task[Any]] = set()
+        self._timeout_check: asyncio.TimerHandle | None = None  # set while a connection is open
+        self._attaching: set[asyncio.Task[Any]] = set()  # kept from garbage collection
         self._listener: socket.socket | None = None
         self._listener_watched = False
-        self.backlog_empty_at_ns = clock.now()
-        self._last_accept_errno = (
-            0  # the errno that the operator was told of last; none since one was accepted
-        )
+        self.backlog_empty_at_ns = clock.now()  # data of a newly accepted connection came after this time
+        self._last_accept_errno = 0  # the one logged last; 0 again after a successful accept
         self._shutdown = GracefulShutdown(settings.classes)
         self._reject_incomplete_timer: asyncio.TimerHandle | None = None
 
     def listen(self, address: Address) -> None:
-        """Listen on this address only; who connects stays in the backlog until ``accept``."""
+        """Listen on this address; connections stay in the backlog until ``start_accepting``."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -66,12 +73,12 @@
         self._listener = listener
 
     def start_accepting(self) -> None:
-        """Begin to take in who connects."""
+        """Begin to accept connections."""
         self._watch_listener()
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that it listens on, with the port that the kernel chose for port 0."""
         assert self._listener is not None
         host, port = self._listener.getsockname()[:2]
         return host, port
@@ -81,7 +88,7 @@
             try:
                 self.loop.add_reader(self._listener.fileno(), self._listener_readable)
             except OSError as fault:
-                # Guards against a loop that is short for a moment never hearing of newcomers again.
+                # Most likely a passing shortage; without a retry nothing would ever be accepted again.
                 self._log_accept_error(fault.errno or 0)
                 self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
                 return
@@ -93,12 +100,12 @@
             self.loop.remove_reader(self._listener.fileno())
 
     def _listener_readable(self) -> None:
-        began = clock.now()
+        began_at = clock.now()
         if self._accept_batch():
-            self.backlog_empty_at_ns = began
+            self.backlog_empty_at_ns = began_at
 
     def _accept_batch(self) -> bool:
-        """Take in who waits, so many at once; whether nobody waits any more."""
+        """Accept up to ``ACCEPTS_PER_TURN`` connections; returns whether the backlog is empty."""
         for _ in range(ACCEPTS_PER_TURN):
             if self._listener is None:
                 return True
@@ -110,38 +117,39 @@
                 return True
             except OSError as fault:
                 if fault.errno in CONNECTION_NOT_ACCEPTED:
-                    continue  # that connection is gone; others may wait behind it
+                    continue  # only that connection is gone; others may wait behind it
                 return self._accept_failed(fault.errno or 0)
             self._last_accept_errno = 0
             self._add_client(sock)
         return False
 
     def _accept_failed(self, code: int) -> bool:
-        """Who waits stays in the backlog meanwhile; whether nobody does.
+        """Pause accepting after an error of the listener; returns whether the backlog is empty.
 
-        Only a shortage is met by making room: any other fault of the listener is no client's.
+        Clients are closed only for a shortage of descriptors or memory; it would help with no other error.
         """
         self._log_accept_error(code)
         if code in RESOURCE_SHORTAGE:
             self.clients.make_room()
         self._pause_accepting()
-        # accept(2) takes a descriptor before it looks whether anybody waits: the error does not tell.
+        # accept(2) allocates a descriptor before it looks at the backlog, so this error doesn't show whether
+        # a connection waits there.
         return not self._backlog_has_connections()
 
     def _log_accept_error(self, code: int) -> None:
-        """One line for each trouble, however many times it is met."""
+        """Log an error once, not with each retry."""
         if code != self._last_accept_errno:
             self._last_accept_errno = code
             log.warning("accept: %s", describe_error(code))
 
     def _backlog_has_connections(self) -> bool:
         assert self._listener is not None
-        backlog = select.poll()
-        backlog.register(self._listener, select.POLLIN)
+        poller = select.poll()
+        poller.register(self._listener, select.POLLIN)
         try:
-            return bool(backlog.poll(0))
+            return bool(poller.poll(0))
         except OSError:
-            return True  # not known
+            return True  # unknown for the moment: assume that one waits
 
     def _add_client(self, sock: socket.socket) -> None:
         _prepare(sock)
@@ -159,20 +167,20 @@
         def done(task: asyncio.Task[Any]) -> None:
             self._attaching.discard(task)
             if not task.cancelled() and task.exception() is not None:
-                log.info("a connection ended at once: %s", task.exception())
+                log.info("could not attach an accepted connection to the event loop: %s", task.exception())
                 client.socket.close()
                 self.connection_closed(client)
 
         task.add_done_callback(done)
 
     def _wait_for_room(self) -> bool:
-        """Who waits stays in the backlog meanwhile; never nobody."""
+        """Make room and pause accepting; False, as the backlog may hold connections."""
         self.clients.make_room()
         self._pause_accepting()
         return False
 
     def _pause_accepting(self) -> None:
-        self._unwatch_listener()  # until one has ended, or there may be one to close
+        self._unwatch_listener()  # until a connection closes or the pause is over
         self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
 
     def _check_timeouts(self) -> None:
@@ -183,19 +191,19 @@
             self._timeout_check = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     def request_started(self, client: ClientConnection) -> None:
-        """A request is being handled there."""
+        """A request is being handled on this connection."""
         self.clients.request_started(client)
 
     def connection_idle(self, client: ClientConnection) -> None:
-        """Nothing is held there."""
+        """All requests on this connection are answered; it stays open for the next one."""
         self.clients.idle[client] = None
 
     def connection_closing(self, client: ClientConnection) -> None:
-        """It was told the last that it will be told."""
+        """The last answer on this connection was written."""
         self.clients.closing[client] = None
 
     def connection_closed(self, client: ClientConnection) -> None:
-        """The connection is no more."""
+        """This connection has ended."""
         self.clients.remove(client)
         if self.shutting_down:
             self._check_drained()
@@ -203,7 +211,7 @@
             self._watch_listener()
 
     def submit_request(self, client: ClientConnection, message: Message) -> int | None:
-        """Check a request and hand it over; none: it asked for our health."""
+        """Validate a request and pass it to the runtime; returns its id, or None for a health check."""
         if message.target == HEALTH_PATH:
             if message.method != b"GET":
                 raise RequestRejected(405, "GET only")
@@ -213,12 +221,12 @@
             client, request, message.forwarded_head(), message.body, message.arrived_at_ns
         )
 
-    def request_cancelled(self, number: int) -> None:
-        """The client of a request that is not answered yet has gone."""
-        self.runtime.cancel_request(number)
+    def request_cancelled(self, request_id: int) -> None:
+        """The client of a request has disconnected before the answer."""
+        self.runtime.cancel_request(request_id)
 
     def reserve_body_bytes(self, size: int) -> bool:
-        """Count bytes of bodies that are held; false where that would be too many."""
+        """Count body bytes in memory, or release them (``size`` below 0); False if that exceeds the limit."""
         if size > 0 and self._held_body_bytes + size > MAX_HELD_BODY_BYTES:
             return False
         self._held_body_bytes += size
@@ -230,13 +238,13 @@
         return self._shutdown.started
 
     def begin_shutdown(self) -> None:
-        """Begin the graceful shutdown: take what still comes, answer all in time, then set ``finished``."""
+        """Begin the graceful shutdown: accept and answer what still comes in time, then set ``finished``."""
         if self._shutdown.started:
             return
         now = clock.now()
         schedule = self._shutdown.start(now)
         self.runtime.begin_shutdown(schedule.answers_due_ns)
-        self._watch_listener()  # whoever waits for a start that is not over has no later one to wait for
+        self._watch_listener()  # serves the backlog even if the start, which delays it, is not over
         self.clients.close_idle()
         self._call_after_ns(self._shutdown.accept_remaining_ns(now), self._close_listener)
         self._call_after_ns(schedule.answers_due_ns - now, self._answers_due)
@@ -254,7 +262,7 @@
             self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
             return
         if not self._accept_batch():
-            # Guards against resetting those in the backlog that one turn, or a full table, does not take in.
+            # Closing now would reset connections that are in the backlog because of a full table or turn.
             self.loop.call_later(ACCEPT_PAUSE_S, self._close_listener)
             return
         self._stop_listening()
@@ -268,16 +276,19 @@
             self._shutdown.listener_closed()
 
     def connection_attached(self) -> None:
-        """A connection that was accepted can be read now."""
+        """An accepted connection has its transport now, and could be closed if it is idle."""
         if self.shutting_down:
             self._check_drained()
 
     def keeps_reading(self) -> bool:
-        """While ending: whether what a connection still holds is waited for."""
+        """During shutdown: whether further requests on open connections are still read."""
         return self._shutdown.keeps_reading(clock.now())
 
     def _check_drained(self) -> None:
-        """Once the listener is closed: end as soon as nobody is left, and wait for nobody in vain."""
+        """Once the listener is closed, finish as soon as no connection is left.
+
+        If only incomplete requests are left, they are rejected after a while.
+        """
         if self._listener is not None:
             return
         self.clients.close_idle()
@@ -289,13 +300,13 @@
             )
 
     def _reject_incomplete(self) -> None:
-        """Guards against a client that never ends its request; what it sends on meanwhile finds an answer."""
+        """Reject requests that are still incomplete: their clients may never complete them."""
         self._reject_incomplete_timer = None
         self.clients.reject_incomplete()
         self._check_drained()
 
     def _answers_due(self) -> None:
-        """Every request has its answer by now; what comes until the exit is refused as it is read."""
+        """Every request has its answer by now; reject what still comes, again and again until the exit."""
         if self._shutdown.phase is ShutdownPhase.FINISHED:
             return
         self._shutdown.answers_due()
@@ -310,14 +321,14 @@
 
 
 def _prepare(sock: socket.socket) -> None:
-    """Set an accepted socket's options, where the system lets us.
+    """Set an accepted socket's options; go on without them if that fails.
 
-    Guards against losing a request that may lie in the socket already: its answer needs neither option.  The
-    loop sets the first one itself as it attaches the connection; without the second a small answer may wait
-    for the client's acknowledgement of the one before.
+    A request that is in the socket already can be answered without either.  The event loop makes the socket
+    non-blocking itself as it attaches the connection.  Without TCP_NODELAY a small answer may wait for the
+    client's acknowledgement of the one before.
     """
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as fault:
-        log.info("a client's socket: %s", describe_error(fault.errno or 0))
+        log.info("could not set the options of a client socket: %s", describe_error(fault.errno or 0))
