--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -62,9 +62,9 @@
     def allows_attempt_on(self, backend: Backend, arrives_by_ns: int) -> bool:
         """Whether an attempt that arrives at this server by then is certain to cause no second effect.
 
-        It is if the request is safe to repeat, or if no attempt may have run yet.  A keyed request may also be
-        repeated within its window, counted from the first attempt that may have run, on the servers that drop
-        repeats of what that attempt's server has run.
+        It is if the request is safe to repeat, or if no attempt may have run yet.  A keyed request may also
+        be repeated within its window, counted from the first attempt that may have run, on the servers that
+        drop repeats of what that attempt's server has run.
         """
         first = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
         if first is None or self.request_class.effect is interface.Effect.SAFE:
