--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -40,7 +40,7 @@
         self.begun = begun
         self.open = True
         life = min(LONGEST_LIFE_MS, max(1, action.keep_ns // clock.NS_PER_MS))
-        self.line = f"bump {action.count} {action.amount:.7f} {life}\r\n".encode()
+        self.line = f"bump {action.name} {action.amount:.7f} {life}\r\n".encode()
         self.sent = 0  # bytes of the line that the kernel has taken
         self.timer: asyncio.TimerHandle | None = None
 
@@ -273,7 +273,7 @@
         call.open = False
         if call.timer is not None:
             call.timer.cancel()
-        self._told(interface.Counted(call.action.count, status, level, clock.now() - call.begun))
+        self._told(interface.Counted(call.action.name, status, level, clock.now() - call.begun))
 
     def _lost(self) -> None:
         """The connection is no more; the next call makes a new one."""
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -379,4 +379,4 @@
         if self.counter is not None and self._starts.clock_check.agrees:
             self.counter.call(action)
         else:
-            self._post(interface.Counted(action.count, interface.Status.DIAL_FAILED, 0.0, 0))
+            self._post(interface.Counted(action.name, interface.Status.DIAL_FAILED, 0.0, 0))
--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -286,7 +286,7 @@
 class Counted:
     """Answer to one counter call; each call gets one.  Names with no call out are ignored."""
 
-    count: int
+    name: int
     status: Status
     level: float
     elapsed_ns: int
@@ -356,7 +356,7 @@
 class Count:
     """Add to a named number of the shared counter and be told the total."""
 
-    count: int
+    name: int
     amount: float
     keep_ns: int
 
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -204,12 +204,12 @@
 
     def counted(self, answer: interface.Counted) -> None:
         """Decide the requests that were held for this reading."""
-        if self.quotas.clock.owns(answer.count):
+        if self.quotas.clock.owns(answer.name):
             self.quotas.synced(answer, self.now)
             self._plan_clock_sync()
             self._release_held_calls()
             return
-        call = self.quotas.calls.get(answer.count)
+        call = self.quotas.calls.get(answer.name)
         told = self.quotas.counted(answer, self.now)
         if call is None or told is None:
             return
@@ -253,7 +253,7 @@
             return
         for action in self.quotas.call(customer, self.now):
             if clock.suspends_counts(self.now):
-                self._answer_unsent(action.count)
+                self._answer_unsent(action.name)
             else:
                 self.actions.append(action)
 
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -147,7 +147,7 @@
         self, answer: interface.Counted, now: int
     ) -> tuple[Customer, list[tuple[InFlight[Customer], bool]]] | None:
         """Take in an answer: whose it is, and for each request held for it whether it is let in."""
-        call = self.calls.pop(answer.count, None)
+        call = self.calls.pop(answer.name, None)
         if call is None:
             return None
         customer = call.customer
--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -271,7 +271,7 @@
         return interface.Started(f.whole("op-id"), f.whole("go", "0"))
     if word == "ADDED":
         return interface.Counted(
-            count=f.whole("tally-id"),
+            name=f.whole("tally-id"),
             status=f.choice("status", STATUSES),
             level=f.number("level", "0"),
             elapsed_ns=f.whole("cost-time-ns", "0"),
@@ -295,7 +295,7 @@
 
 
 def _count_line(action: interface.Count) -> str:
-    return f"POST_AMOUNT qty={action.amount:.7g} tally-id={action.count} keep-for-ns={action.keep_ns}"
+    return f"POST_AMOUNT qty={action.amount:.7g} tally-id={action.name} keep-for-ns={action.keep_ns}"
 
 
 FORMATS: dict[type, Callable[[Any], str]] = {
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -205,13 +205,13 @@
     def call(self, now: int, gateway: Gateway, action: interface.Count) -> None:
         day, rng = self.fleet.day, self.fleet.rng
         if gateway.me < day.without_counter:
-            gateway.later(now, interface.Counted(action.count, interface.Status.DIAL_FAILED, 0.0, 0))
+            gateway.later(now, interface.Counted(action.name, interface.Status.DIAL_FAILED, 0.0, 0))
             return
         self.fleet.result.calls += 1
         way = int(rng.uniform(0.2, 1.4) * MS)
         comes = now + way
         if self.free_at - comes > day.call_queue_ns:
-            gateway.later(comes + way, interface.Counted(action.count, interface.Status.SHED, 0.0, 2 * way))
+            gateway.later(comes + way, interface.Counted(action.name, interface.Status.SHED, 0.0, 2 * way))
             self.fleet.result.calls_unanswered += 1
             return
         self.free_at = max(self.free_at, comes) + SECOND / day.calls_per_s
@@ -221,21 +221,21 @@
         self.fleet.at(done, lambda at: level.__setitem__(0, self.add(action, at)))
         if answered - now > day.call_wait_ns:
             self.fleet.result.calls_unanswered += 1
-            late = interface.Counted(action.count, interface.Status.EXPIRED, 0.0, day.call_wait_ns)
+            late = interface.Counted(action.name, interface.Status.EXPIRED, 0.0, day.call_wait_ns)
             gateway.later(now + day.call_wait_ns, late)
         else:
             self.fleet.at(
                 answered,
                 lambda at: gateway.handle(
-                    at, interface.Counted(action.count, interface.Status.DELIVERED, level[0], answered - now)
+                    at, interface.Counted(action.name, interface.Status.DELIVERED, level[0], answered - now)
                 ),
             )
 
     def add(self, action: interface.Count, now: int) -> float:
-        total, ends = self.totals.get(action.count, (0.0, 0))
+        total, ends = self.totals.get(action.name, (0.0, 0))
         if ends <= now:
             total, ends = 0.0, now + action.keep_ns
-        self.totals[action.count] = total + action.amount, ends
+        self.totals[action.name] = total + action.amount, ends
         return total + action.amount
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -26,7 +26,7 @@
             status = statuses[-1]
             events.append(outcome(action.id, 0, status, status is interface.Status.DELIVERED))
         elif isinstance(action, interface.Count):
-            events.append(interface.Counted(action.count, interface.Status.EXPIRED, 0.0, 80 * MS))
+            events.append(interface.Counted(action.name, interface.Status.EXPIRED, 0.0, 80 * MS))
         elif isinstance(action, interface.CancelAttempt):
             events.append(outcome(action.id, action.attempt, interface.Status.CANCELLED))
     return events
--- a/tests/test_clock_sync.py
+++ b/tests/test_clock_sync.py
@@ -65,10 +65,10 @@
         return node
 
     def bump(self, call: interface.Count) -> float:
-        total, ends = self.totals.get(call.count, (0.0, 0))
+        total, ends = self.totals.get(call.name, (0.0, 0))
         if ends <= self.now:
             total, ends = 0.0, self.now + call.keep_ns
-        self.totals[call.count] = total + call.amount, ends
+        self.totals[call.name] = total + call.amount, ends
         return total + call.amount
 
     def due_at(self, node: Node) -> int:
@@ -86,7 +86,7 @@
         self.calls += 1
         level = 0.0 if status.never_ran else self.bump(call)
         self.now += WAY
-        node.sync.answered(interface.Counted(call.count, status, level, WAY), self.now + node.ahead)
+        node.sync.answered(interface.Counted(call.name, status, level, WAY), self.now + node.ahead)
         return call
 
     def run(self, seconds: float) -> None:
@@ -304,7 +304,7 @@
     bench.now = bench.due_at(node)
     call = node.sync.call(bench.now)
     assert call is not None
-    node.sync.answered(interface.Counted(call.count, interface.Status.DELIVERED, level, WAY), bench.now + WAY)
+    node.sync.answered(interface.Counted(call.name, interface.Status.DELIVERED, level, WAY), bench.now + WAY)
     assert not node.agrees(bench.now)
     until_it_agrees(bench, node)
 
--- a/tests/test_gateway_counter.py
+++ b/tests/test_gateway_counter.py
@@ -49,7 +49,7 @@
         for number in range(50):
             made.call(call(number, number + 0.5))
         await until(lambda: len(told) == 50)
-        assert [(c.count, c.status, c.level) for c in told] == [
+        assert [(c.name, c.status, c.level) for c in told] == [
             (n, interface.Status.DELIVERED, n + 0.5) for n in range(50)
         ]
         assert peer.requests[3] == b"bump 3 3.5000000 60000\r\n"
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -49,10 +49,10 @@
 
     def add(self, call: interface.Count, now: int) -> float:
         """Carry out a call; the total is returned."""
-        if call.count not in self or self.ends[call.count] <= now:
-            self[call.count], self.ends[call.count] = 0.0, now + call.keep_ns
-        self[call.count] += call.amount
-        return self[call.count]
+        if call.name not in self or self.ends[call.name] <= now:
+            self[call.name], self.ends[call.name] = 0.0, now + call.keep_ns
+        self[call.name] += call.amount
+        return self[call.name]
 
 
 def settle(policy: Policy, now: int, todo: list[interface.Action], totals: Counts) -> int:
@@ -62,15 +62,15 @@
         sent += kinds(todo).count("Assign")
         events: list[interface.Event] = [served(a.id) for a in todo if isinstance(a, interface.Assign)]
         for call in calls(todo):
-            events.append(interface.Counted(call.count, DELIVERED, totals.add(call, now), MS))
+            events.append(interface.Counted(call.name, DELIVERED, totals.add(call, now), MS))
         todo = policy.handle(now, events) if events else []
     return sent
 
 
 def lacking(policy: Policy, call: interface.Count, units: float, now: int) -> interface.Counted:
     """The answer of a count whose store lacks so much."""
-    drained = 2.0 * (now - policy.quotas.calls[call.count].began) / SECOND
-    return interface.Counted(call.count, DELIVERED, units + drained, MS)
+    drained = 2.0 * (now - policy.quotas.calls[call.name].began) / SECOND
+    return interface.Counted(call.name, DELIVERED, units + drained, MS)
 
 
 def flood(policy: Policy, seconds: float, first: int = 0, level: float | None = None) -> float:
@@ -84,7 +84,7 @@
             actions += policy.handle(now, [served(first + k)])
         for call in calls(actions):
             heard = answer(level, DELIVERED) if level is not None else answer(0, EXPIRED)
-            policy.handle(now, [interface.Counted(call.count, heard.status, heard.level, MS)])
+            policy.handle(now, [interface.Counted(call.name, heard.status, heard.level, MS)])
     return used
 
 
@@ -207,7 +207,7 @@
         answers = []
         for policy, call in todo:
             made += 1
-            answers.append((policy, interface.Counted(call.count, DELIVERED, totals.add(call, now), 5 * MS)))
+            answers.append((policy, interface.Counted(call.name, DELIVERED, totals.add(call, now), 5 * MS)))
         now += 5 * MS
         todo = [(policy, call) for policy, told in answers for call in calls(policy.handle(now, [told]))]
     assert made <= 8 * len(policies)
@@ -223,7 +223,7 @@
         policy = started()
         actions = policy.handle(0, [request(1, plan="small", customer="c", units=2.0)])
         (call,) = calls(actions)
-        policy.handle(MS, [interface.Counted(call.count, status, 0, MS)])
+        policy.handle(MS, [interface.Counted(call.name, status, 0, MS)])
         assert policy.quotas.customers["c", "small"].pending == left
 
 
@@ -309,7 +309,7 @@
             asked = [request(n, plan="small", customer="c"), served(n)]
         for call in calls(policy.handle(now, asked)):
             told.append(call.amount)
-            policy.handle(now, [interface.Counted(call.count, interface.Status.DIAL_FAILED, 0.0, MS)])
+            policy.handle(now, [interface.Counted(call.name, interface.Status.DIAL_FAILED, 0.0, MS)])
     assert max(told) < 2.5  # not the ten units of all that time
 
 
@@ -318,7 +318,7 @@
     policy = started()
     for n in range(200):
         told = [
-            interface.Counted(c.count, DELIVERED, 1.0, MS)
+            interface.Counted(c.name, DELIVERED, 1.0, MS)
             for c in calls(policy.handle(n, [request(n, plan="small")]))
         ]
         policy.handle(n, told)
@@ -334,13 +334,13 @@
         todo = calls(policy.handle(now, [request(n, plan="small", customer=f"new{n}"), served(n)]))
         for call in todo:
             made += n >= 1000
-            policy.handle(now, [interface.Counted(call.count, SHED, 0.0, MS)])
+            policy.handle(now, [interface.Counted(call.name, SHED, 0.0, MS)])
     assert made <= 500  # one for each new customer, not one for each that was ever seen
     for _ in range(4000):
         now += 20 * MS
         todo = calls(policy.handle(now, [interface.Timer(0)]))
         for call in todo:
-            policy.handle(now, [interface.Counted(call.count, SHED, 0.0, MS)])
+            policy.handle(now, [interface.Counted(call.name, SHED, 0.0, MS)])
     assert not todo
     assert not policy.quotas.customers
 
@@ -405,9 +405,9 @@
             events: list[interface.Event] = [served(a.id) for a in todo if isinstance(a, interface.Assign)]
             for call in calls(todo):
                 if hears(chosen, now - start):
-                    events.append(interface.Counted(call.count, DELIVERED, totals.add(call, now), MS))
+                    events.append(interface.Counted(call.name, DELIVERED, totals.add(call, now), MS))
                 else:
-                    events.append(interface.Counted(call.count, EXPIRED, 0.0, MS))
+                    events.append(interface.Counted(call.name, EXPIRED, 0.0, MS))
             todo = gateways[chosen].handle(now, events) if events else []
         lowest = min(lowest, store)
     return lowest
@@ -433,7 +433,7 @@
             actions += policy.handle(k * 2 * MS, [request(k, plan="small", customer="c", units=2.0)])
         for call in calls(actions):
             called += 1
-            policy.handle(k * 2 * MS, [interface.Counted(call.count, SHED, 0, MS)])
+            policy.handle(k * 2 * MS, [interface.Counted(call.name, SHED, 0, MS)])
     # A few until it asks least often, then for a tenth of the hundred requests.
     assert called <= 8 + 100 * LEAST_ASKING
 
@@ -445,7 +445,7 @@
     actions = policy.handle(MS, [ask])
     (call,) = calls(actions)
     assert [type(a).__name__ for a in actions if isinstance(a, interface.Decline | interface.Assign)] == []
-    told = policy.handle(2 * MS, [interface.Counted(call.count, interface.Status.DELIVERED, call.amount, MS)])
+    told = policy.handle(2 * MS, [interface.Counted(call.name, interface.Status.DELIVERED, call.amount, MS)])
     assert "Assign" in kinds(told)
 
 
@@ -455,7 +455,7 @@
         actions = policy.handle(n * 10 * MS, [request(n, plan="capped", customer="c", entries=15, units=1.0)])
         for call in calls(actions):
             actions += policy.handle(
-                n * 10 * MS, [interface.Counted(call.count, interface.Status.EXPIRED, 0.0, MS)]
+                n * 10 * MS, [interface.Counted(call.name, interface.Status.EXPIRED, 0.0, MS)]
             )
         if "Assign" in kinds(actions):
             let_in += 1
@@ -475,7 +475,7 @@
         while n >= 10 and todo:  # the counter has fallen silent
             unheard += kinds(todo).count("Assign")
             events: list[interface.Event] = [
-                interface.Counted(c.count, interface.Status.EXPIRED, 0.0, MS) for c in calls(todo)
+                interface.Counted(c.name, interface.Status.EXPIRED, 0.0, MS) for c in calls(todo)
             ]
             events += [served(a.id) for a in todo if isinstance(a, interface.Assign)]
             todo = policy.handle(now, events) if events else []
@@ -511,7 +511,7 @@
             made, added = made + 1, added + call.amount
             level = 8.0 + max(0.0, call.amount) + 2.0 * ((now - call_began(policy)) / SECOND)
             todo += calls(
-                policy.handle(now, [interface.Counted(call.count, interface.Status.DELIVERED, level, MS)])
+                policy.handle(now, [interface.Counted(call.name, interface.Status.DELIVERED, level, MS)])
             )
     return made, added
 
@@ -540,7 +540,7 @@
             added += call.amount
             # The store has room for ten requests more, but it is not at rest: none passes beside the part.
             level = 20.0 + max(0.0, call.amount) + 20.0 * (now - call_began(policy)) / SECOND
-            heard = policy.handle(now, [interface.Counted(call.count, DELIVERED, level, MS)])
+            heard = policy.handle(now, [interface.Counted(call.name, DELIVERED, level, MS)])
             assert "Assign" not in kinds(heard)
             todo += calls(heard)
     (customer,) = policy.quotas.customers.values()
@@ -553,7 +553,7 @@
     policy = started(server("s1"))
     ask = request(1, plan="capped", customer="c", entries=15, units=1.0)
     (call,) = calls(policy.handle(MS, [ask]))
-    late = policy.handle(51 * MS, [interface.Counted(call.count, interface.Status.EXPIRED, 0.0, 50 * MS)])
+    late = policy.handle(51 * MS, [interface.Counted(call.name, interface.Status.EXPIRED, 0.0, 50 * MS)])
     assert "Decline" in kinds(late)  # a new gateway has no part of the ceiling yet
     (customer,) = policy.quotas.customers.values()
     assert customer.pending == -call.amount
@@ -595,9 +595,9 @@
             todo = calls(actions)
             while todo:
                 call = todo.pop()
-                told += call.amount - policy.quotas.calls[call.count].repair
+                told += call.amount - policy.quotas.calls[call.name].repair
                 heard = policy.handle(
-                    now, [interface.Counted(call.count, DELIVERED, totals.add(call, now), MS)]
+                    now, [interface.Counted(call.name, DELIVERED, totals.add(call, now), MS)]
                 )
                 todo += calls(heard)
                 actions += heard
@@ -617,10 +617,10 @@
             policy.quotas.asking = policy.quotas.keeps_up = asking
             ask = request(number, plan="small", customer=f"c{number}", entries=35)
             asked, number = calls(policy.handle(number * MS, [ask])), number + 1
-        (call,), began = asked, policy.quotas.calls[asked[0].count].began
+        (call,), began = asked, policy.quotas.calls[asked[0].name].began
         full = 8.0 + call.amount + 2.0 * (policy.now - began) / SECOND
         told = policy.handle(
-            policy.now + MS, [interface.Counted(call.count, interface.Status.DELIVERED, full, MS)]
+            policy.now + MS, [interface.Counted(call.name, interface.Status.DELIVERED, full, MS)]
         )
         assert "Decline" in kinds(told)
         assert [back.amount for back in calls(told)] == ([-call.amount] if at_once else [])
@@ -642,7 +642,7 @@
         now, asked = 40 * SECOND + turn * 5 * MS, list[tuple[Policy, interface.Count]]()
         for policy in policies:
             events: list[interface.Event] = [
-                interface.Counted(call.count, DELIVERED, level, 5 * MS)
+                interface.Counted(call.name, DELIVERED, level, 5 * MS)
                 for owner, call, level in out
                 if owner is policy
             ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -207,7 +207,7 @@
         )
         self.pending = [
             *getattr(self, "pending", []),
-            interface.Counted(action.count, status, self.rng.random() * 50, MS),
+            interface.Counted(action.name, status, self.rng.random() * 50, MS),
         ]
 
     def end(self, number: int) -> None:
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -337,7 +337,7 @@
         event = request(number, plan="small", customer=f"c{number}", units=4.0, entries=200)
         for action in policy.handle(number * MS, [event]):
             if isinstance(action, interface.Count):
-                policy.handle(number * MS, [interface.Counted(action.count, interface.Status.UNUSED, 0.0, 0)])
+                policy.handle(number * MS, [interface.Counted(action.name, interface.Status.UNUSED, 0.0, 0)])
     assert policy.quotas.asking == before
 
 
@@ -912,7 +912,7 @@
         for number in (1, 2):
             made.call(counted(number))
         await until(lambda: len(told) == 2)
-        assert {answer.count: answer.status for answer in told} == {
+        assert {answer.name: answer.status for answer in told} == {
             1: interface.Status.EXPIRED,
             2: interface.Status.DIAL_FAILED,
         }
@@ -920,7 +920,7 @@
         faults.failing([])
         made.call(counted(3))
         await until(lambda: len(told) == 3)
-        assert (told[2].count, told[2].status) == (3, interface.Status.DELIVERED)
+        assert (told[2].name, told[2].status) == (3, interface.Status.DELIVERED)
         assert [line.split()[1] for line in peer.requests] == [b"1", b"3"]
 
     run(scenario())
