--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -39,7 +39,7 @@
         self.action = action
         self.begun = begun
         self.open = True
-        life = min(LONGEST_LIFE_MS, max(1, action.keep_ns // clock.NS_PER_MS))
+        life = min(LONGEST_LIFE_MS, max(1, action.ttl_ns // clock.NS_PER_MS))
         self.line = f"bump {action.name} {action.amount:.7f} {life}\r\n".encode()
         self.sent = 0  # bytes of the line that the kernel has taken
         self.timer: asyncio.TimerHandle | None = None
--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -358,7 +358,7 @@
 
     name: int
     amount: float
-    keep_ns: int
+    ttl_ns: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -295,7 +295,7 @@
 
 
 def _count_line(action: interface.Count) -> str:
-    return f"POST_AMOUNT qty={action.amount:.7g} tally-id={action.name} keep-for-ns={action.keep_ns}"
+    return f"POST_AMOUNT qty={action.amount:.7g} tally-id={action.name} keep-for-ns={action.ttl_ns}"
 
 
 FORMATS: dict[type, Callable[[Any], str]] = {
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -234,7 +234,7 @@
     def add(self, action: interface.Count, now: int) -> float:
         total, ends = self.totals.get(action.name, (0.0, 0))
         if ends <= now:
-            total, ends = 0.0, now + action.keep_ns
+            total, ends = 0.0, now + action.ttl_ns
         self.totals[action.name] = total + action.amount, ends
         return total + action.amount
 
--- a/tests/test_clock_sync.py
+++ b/tests/test_clock_sync.py
@@ -67,7 +67,7 @@
     def bump(self, call: interface.Count) -> float:
         total, ends = self.totals.get(call.name, (0.0, 0))
         if ends <= self.now:
-            total, ends = 0.0, self.now + call.keep_ns
+            total, ends = 0.0, self.now + call.ttl_ns
         self.totals[call.name] = total + call.amount, ends
         return total + call.amount
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -50,7 +50,7 @@
     def add(self, call: interface.Count, now: int) -> float:
         """Carry out a call; the total is returned."""
         if call.name not in self or self.ends[call.name] <= now:
-            self[call.name], self.ends[call.name] = 0.0, now + call.keep_ns
+            self[call.name], self.ends[call.name] = 0.0, now + call.ttl_ns
         self[call.name] += call.amount
         return self[call.name]
 
