--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -288,7 +288,7 @@
 
     name: int
     status: Status
-    level: float
+    total: float
     elapsed_ns: int
 
 
--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -198,14 +198,14 @@
         self._misses = 0
         match call.step:
             case Step.READ | Step.CLAIM | Step.BEACON:
-                self._take_total(call, answer.level, now)
+                self._take_total(call, answer.total, now)
             case Step.CHECK_FIRST | Step.CHECK_SECOND:
-                self._take_presence(call.step, round(answer.level), now)
-            case Step.LOCK if round(answer.level) == 1:
+                self._take_presence(call.step, round(answer.total), now)
+            case Step.LOCK if round(answer.total) == 1:
                 self._plan(Step.CLAIM, now)
             case Step.LOCK:
                 self._read_again(now)
-            case Step.RENEW if round(answer.level) <= 1 and self._confirmations < CONFIRMATIONS_MOST:
+            case Step.RENEW if round(answer.total) <= 1 and self._confirmations < CONFIRMATIONS_MOST:
                 # Guards against a count that a check has created just before, to which little life is left.
                 self._confirmations += 1
                 self._plan(Step.RENEW, now + self._about(CONFIRM_NS))
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -164,7 +164,7 @@
             self.steer(not customer.heard or 2 * answer.elapsed_ns > self.settings.counter_wait_ns)
         if customer.heard:
             self.answered_at = now
-            return customer, customer.reading(call, answer.level, now)
+            return customer, customer.reading(call, answer.total, now)
         if answer.status.never_ran:
             customer.pending += call.told
         verdicts = []
--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -273,7 +273,7 @@
         return interface.Counted(
             name=f.whole("tally-id"),
             status=f.choice("status", STATUSES),
-            level=f.number("level", "0"),
+            total=f.number("level", "0"),
             elapsed_ns=f.whole("cost-time-ns", "0"),
         )
     return interface.Probed(
--- a/tests/test_gateway_counter.py
+++ b/tests/test_gateway_counter.py
@@ -49,7 +49,7 @@
         for number in range(50):
             made.call(call(number, number + 0.5))
         await until(lambda: len(told) == 50)
-        assert [(c.name, c.status, c.level) for c in told] == [
+        assert [(c.name, c.status, c.total) for c in told] == [
             (n, interface.Status.DELIVERED, n + 0.5) for n in range(50)
         ]
         assert peer.requests[3] == b"bump 3 3.5000000 60000\r\n"
@@ -80,7 +80,7 @@
         made.call(call(1))
         late.set()
         await until(lambda: len(told) == 2)
-        assert (told[1].status, told[1].level) == (interface.Status.DELIVERED, 222.0)
+        assert (told[1].status, told[1].total) == (interface.Status.DELIVERED, 222.0)
 
     run(scenario())
 
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -178,7 +178,7 @@
         assert told == []
         answer.set()
         await until(lambda: len(told) == 1)
-        assert (told[0].status, told[0].level) == (interface.Status.DELIVERED, 7.0)
+        assert (told[0].status, told[0].total) == (interface.Status.DELIVERED, 7.0)
         await until(lambda: peer.requests[1:] == [b""])  # and then its connection is closed
 
     run(scenario())
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -84,7 +84,7 @@
             actions += policy.handle(now, [served(first + k)])
         for call in calls(actions):
             heard = answer(level, DELIVERED) if level is not None else answer(0, EXPIRED)
-            policy.handle(now, [interface.Counted(call.name, heard.status, heard.level, MS)])
+            policy.handle(now, [interface.Counted(call.name, heard.status, heard.total, MS)])
     return used
 
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -788,7 +788,7 @@
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await until(lambda: len(told) == 20)
-        assert [(answer.status, answer.level) for answer in told] == [
+        assert [(answer.status, answer.total) for answer in told] == [
             (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
         assert peer.connections == 1
@@ -828,7 +828,7 @@
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await until(lambda: len(told) == 20)
-        assert [answer.level for answer in told] == [number + 0.5 for number in range(20)]
+        assert [answer.total for answer in told] == [number + 0.5 for number in range(20)]
         assert {answer.status for answer in told} == {interface.Status.DELIVERED}
         assert peer.connections == 1
 
