--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -283,7 +283,7 @@
     ) -> None:
         """At most ``budget`` connections are open at once."""
         self.loop = loop
-        self.connect_s = settings.limits.connect_ns / clock.NS_PER_S
+        self.connect_s = settings.limits.connect_timeout_ns / clock.NS_PER_S
         self._settings = settings
         self._retire_ns = int(IDLE_SHARE * idle_ns)
         self._budget = budget
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -299,7 +299,7 @@
         if inflight.may_have_run:
             inflight.client.failed()
         else:
-            most = limits.max_retry_after_ns if limits.retry_after else 0
+            most = limits.max_retry_after_ns if limits.may_send_retry_after else 0
             inflight.client.refused(min(SOON_NS, most), False)
         self.cancelled(number)
 
@@ -327,7 +327,9 @@
                 status=status,
                 elapsed_ns=clock.now() - attempt.begun,
                 terminal=not inflight.open,
-                billed=answer.billed if answer is not None and status is interface.Status.DELIVERED else None,
+                billed_units=answer.billed
+                if answer is not None and status is interface.Status.DELIVERED
+                else None,
                 report=answer.report if answer is not None else (),
             )
         )
--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -75,8 +75,8 @@
 
     name: str
     effect: Effect
-    group: DedupGroup
-    window_ns: int
+    dedup_group: DedupGroup
+    dedup_window_ns: int
     aim_ns: int
     deadline_ns: int
     worth: float
@@ -116,14 +116,14 @@
 class Limits:
     """What the deployment allows."""
 
-    attempts: int
+    max_attempts: int
     hedging: bool  # a request may have two attempts out
     may_cancel: bool
     probes: bool
-    retry_after: bool
+    may_send_retry_after: bool
     max_retry_after_ns: int
     max_open: int
-    connect_ns: int = 250_000_000  # as long as a connection may take to come up
+    connect_timeout_ns: int = 250_000_000  # as long as a connection may take to come up
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,16 +163,16 @@
             (_named(self.classes), "classes.name"),
             (_named(self.plans), "plans.name"),
             (self.max_units > 0, "max_units"),
-            (self.limits.attempts >= 1, "limits.attempts"),
+            (self.limits.max_attempts >= 1, "limits.max_attempts"),
             (self.limits.max_retry_after_ns >= 0, "limits.max_retry_after_ns"),
-            (self.limits.connect_ns > 0, "limits.connect_ns"),
+            (self.limits.connect_timeout_ns > 0, "limits.connect_timeout_ns"),
             (self.rules.drain_grace_ns >= 0, "rules.drain_grace_ns"),
             (self.rules.cold_ns >= 0, "rules.cold_ns"),
             (0 < self.rules.start_capacity <= 1, "rules.start_capacity"),
             (self.rules.overload_factor > 0, "rules.overload_factor"),
             (not self.has_counter or self.counter_wait_ns > 0, "counter_wait_ns"),
             (all(0 < c.aim_ns <= c.deadline_ns for c in self.classes), "classes.aim_ns"),
-            (all(c.window_ns >= 0 for c in self.classes), "classes.window_ns"),
+            (all(c.dedup_window_ns >= 0 for c in self.classes), "classes.dedup_window_ns"),
             (all(c.worth >= 0 for c in self.classes), "classes.worth"),
             (all(p.price >= 0 for p in self.plans), "plans.price"),
             (all(p.overrun_cost >= 0 for p in self.plans), "plans.overrun_cost"),
@@ -247,7 +247,7 @@
     elapsed_ns: int
     terminal: bool
     used_percent: float | None = None
-    billed: float | None = None
+    billed_units: float | None = None
     report: tuple[tuple[str, float], ...] = ()
 
 
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -293,10 +293,10 @@
     def choose(self, inflight: InFlight[Customer]) -> Backend | None:
         """A server for the next attempt, if the rules leave one."""
         limits = self.settings.limits
-        if len(inflight.attempts) >= limits.attempts or (inflight.out() and not limits.hedging):
+        if len(inflight.attempts) >= limits.max_attempts or (inflight.out() and not limits.hedging):
             return None
         # Guards against one chosen within the window that comes after it, as its connection came up late.
-        comes_by = self.now + limits.connect_ns
+        comes_by = self.now + limits.connect_timeout_ns
         allowed = (b for b in self.servers.backends.values() if inflight.allows(b, comes_by))
         tried = [attempt.backend.entry.name for attempt in inflight.attempts]
         return self.servers.pick(self.now, self.servers.means[inflight.kind.name], allowed, tried)
@@ -333,7 +333,7 @@
             if backend is not None and backend is not last.backend:
                 self.retry_budget.adjust(-1.0)
                 self.send(inflight, backend)
-        elif limits.may_cancel and len(inflight.attempts) < limits.attempts:
+        elif limits.may_cancel and len(inflight.attempts) < limits.max_attempts:
             self.retry_budget.adjust(-1.0)
             self.actions.append(interface.CancelAttempt(inflight.request.id, len(inflight.attempts) - 1))
 
@@ -375,8 +375,8 @@
 
     def _settle_units(self, inflight: InFlight[Customer], outcome: interface.Outcome) -> None:
         """Charge the difference between the units billed and those first asked for."""
-        if outcome.billed is not None and inflight.customer.plan.rate > 0:
-            more = outcome.billed - inflight.request.units
+        if outcome.billed_units is not None and inflight.customer.plan.rate > 0:
+            more = outcome.billed_units - inflight.request.units
             inflight.customer.gap.adjust(-more)
             inflight.customer.pending += more
 
@@ -408,7 +408,7 @@
 
     def decline(self, inflight: InFlight[Customer], after: int) -> None:
         """Refuse for good."""
-        most = self.settings.limits.max_retry_after_ns if self.settings.limits.retry_after else 0
+        most = self.settings.limits.max_retry_after_ns if self.settings.limits.may_send_retry_after else 0
         self.actions.append(interface.Decline(inflight.request.id, min(after or SOON_NS, most)))
         self.close(inflight)
 
--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -47,7 +47,7 @@
             return True
         ran = any(attempt.may_have_run for attempt in self.attempts)
         return not ran or (
-            self.kind.effect is interface.Effect.KEYED and self.kind.group is interface.DedupGroup.ALL
+            self.kind.effect is interface.Effect.KEYED and self.kind.dedup_group is interface.DedupGroup.ALL
         )
 
     def allows(self, backend: Backend, comes_by: int) -> bool:
@@ -55,9 +55,12 @@
         first = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
         if first is None or self.kind.effect is interface.Effect.SAFE:
             return True
-        if self.kind.effect is interface.Effect.UNSAFE or comes_by - first.sent_at >= self.kind.window_ns:
+        if (
+            self.kind.effect is interface.Effect.UNSAFE
+            or comes_by - first.sent_at >= self.kind.dedup_window_ns
+        ):
             return False
         here, there = first.backend.entry, backend.entry
-        if self.kind.group is interface.DedupGroup.CELL:
+        if self.kind.dedup_group is interface.DedupGroup.CELL:
             return (here.zone, here.cell) == (there.zone, there.cell)
-        return self.kind.group is interface.DedupGroup.ALL or here.zone == there.zone
+        return self.kind.dedup_group is interface.DedupGroup.ALL or here.zone == there.zone
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -39,7 +39,7 @@
     before = policy.shedder.ratio(policy.now)
     for number in range(100):
         assert kinds(policy.handle(policy.now, [request(number, class_name="post")])) == ["Assign"]
-        for attempt in range(policy.settings.limits.attempts):
+        for attempt in range(policy.settings.limits.max_attempts):
             policy.handle(policy.now, [outcome(number, attempt, interface.Status.UNUSED)])
     assert policy.shedder.ratio(policy.now) == before
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -263,8 +263,8 @@
     policy = started(cost_after=True)
     policy.handle(0, [request(1, plan="small", customer="c", units=2.0)])
     before = policy.quotas.customers["c", "small"].gap.level
-    policy.handle(1, [served(1, billed=4.0)])
-    policy.handle(1, [served(1, billed=4.0)])
+    policy.handle(1, [served(1, billed_units=4.0)])
+    policy.handle(1, [served(1, billed_units=4.0)])
     after = policy.quotas.customers["c", "small"]
     assert before - after.gap.level == pytest.approx(2.0)
     assert after.pending == pytest.approx(2.0)  # beside the two told at once
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -95,7 +95,7 @@
     # One chosen just within the window came after it, on a connection that took its time: a second effect.
     base = settings().limits
     for before_end, again in ((connect_ms + 1, "Assign"), (connect_ms, "Fail"), (1, "Fail")):
-        policy = started(server("s1"), limits=replace(base, connect_ns=connect_ms * MS))
+        policy = started(server("s1"), limits=replace(base, connect_timeout_ns=connect_ms * MS))
         policy.handle(0, [request(1, class_name="put", ttl_ns=4 * SECOND)])
         actions = policy.handle(3 * SECOND - before_end * MS, [outcome(1, 0, interface.Status.ERROR)])
         assert kinds(actions) == [again]
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -104,7 +104,7 @@
             status, head, _ = await client.send(ask("post"))  # may not run twice, so it must be known not to
             assert status == 503
             assert b"Retry-After" in head
-        assert faults.counts[call] <= 3 * made._config.settings.limits.attempts  # no spin
+        assert faults.counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         assert faults.all_closed()
         assert not one.requests + two.requests
@@ -386,7 +386,7 @@
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
-        assert faults.counts[Call.SEND] <= made._config.settings.limits.attempts  # no spin
+        assert faults.counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         faults.failing([])
         assert (await client.send(ask("post")))[0] == 200
--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -59,7 +59,8 @@
     try_all(policy, 1, 0, {"s1", "s2"}, interface.Status.UNUSED)
     level = policy.retry_budget.level
     assert (
-        len(try_all(policy, 2, MS, {"s1", "s2"}, interface.Status.UNUSED)) == policy.settings.limits.attempts
+        len(try_all(policy, 2, MS, {"s1", "s2"}, interface.Status.UNUSED))
+        == policy.settings.limits.max_attempts
     )
     assert policy.retry_budget.level >= level
     assert [b.unreachable_until for b in policy.servers.backends.values()] == [0, 0]
