--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -46,7 +46,7 @@
         index = 0
         try:
             known = change_from(self._config.known)
-            self.runtime.listed(Change(known.index, True, known.endpoints), cached=True)
+            self.runtime.update_servers(Change(known.index, True, known.endpoints), cached=True)
             index = known.index
         except ValueError as fault:
             log.warning("known: %s; the list comes from discovery alone", fault)
@@ -63,13 +63,13 @@
         """
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(watch.settled.wait(), FIRST_LIST_S)
-        self.frontend.accept()
+        self.frontend.start_accepting()
 
     def _follow(self, discovery: Address, index: int) -> Watch:
         if self._watch is not None:
             self._watch.cancel()  # closes its connection as it ends
         gateways = self._config.settings.gateways
-        watch = Watch(discovery, index, self._config.seed, self.runtime.listed, gateways)
+        watch = Watch(discovery, index, self._config.seed, self.runtime.update_servers, gateways)
         self._watch = self._loop.create_task(watch.run())
         return watch
 
@@ -88,10 +88,10 @@
         if config.discovery != before.discovery:
             self._follow(config.discovery, 0)  # its versions are its own: the whole list is asked for
         if config.counter != before.counter:
-            self.runtime.count_at(config.counter)
+            self.runtime.use_counter(config.counter)
 
     async def ended(self) -> None:
-        """Wait for the graceful end that ``frontend.end`` begins, then let go of all."""
+        """Wait for the graceful end that ``frontend.begin_shutdown`` begins, then let go of all."""
         await self.frontend.finished.wait()
         for task in (self._watch, self._opening):
             if task is not None:
@@ -105,7 +105,7 @@
     loop = asyncio.get_running_loop()
     gateway = Gateway(loop, config)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, gateway.frontend.end)
+        loop.add_signal_handler(number, gateway.frontend.begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
     gateway.start()
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came since ``main`` is handled now
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -11,10 +11,10 @@
 import pytest
 
 from gingerworks import interface
-from gingerworks.gateway import arrival, backend, clock
+from gingerworks.gateway import arrival_times, backend, clock
 from gingerworks.gateway.__main__ import Gateway
 from gingerworks.gateway.dial import Dial
-from gingerworks.policy.driver import PATIENCE_AIM
+from gingerworks.policy.driver import OVERDUE_AIM_FRACTION
 from tests.loopback import (
     NOT_RUN,
     OK,
@@ -70,7 +70,7 @@
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(ask("post") + ask("post"))
-        await until(lambda: len(server.requests) == 1 and any(c.ready for c in made.frontend.clients.open))
+        await until(lambda: len(server.requests) == 1 and any(c.pending for c in made.frontend.clients.open))
         stepped.hold_up()
         release.set()
         assert await answered(client, 2) == [200, 200]
@@ -86,7 +86,9 @@
         made = gateway(server.address)
         client = await Client.to(made)
         client.writer.write(ask("post") + ask("post") + ask("post"))
-        await until(lambda: any(c.paused for c in made.frontend.clients.open) and len(server.requests) == 1)
+        await until(
+            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+        )
         client.writer.write(ask("post"))
         await asyncio.sleep(HELD_UP_S)
         client.writer.write(ask("post"))
@@ -118,7 +120,7 @@
 
 
 def test_an_age_counts_no_further_back_than_the_backlog_was_empty(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(arrival, "last_data_age_ns", lambda sock: 3600 * clock.NS_PER_S)
+    monkeypatch.setattr(arrival_times, "last_data_age_ns", lambda sock: 3600 * clock.NS_PER_S)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -137,7 +139,7 @@
         server = await answering(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        turn: Any = made.runtime._turn
+        turn: Any = made.runtime._handle_events
 
         def late() -> None:
             if made.runtime._in_flight:
@@ -145,7 +147,7 @@
             turn()
 
         await asyncio.sleep(0)
-        monkeypatch.setattr(made.runtime, "_turn", late)
+        monkeypatch.setattr(made.runtime, "_handle_events", late)
         status, _, _ = await client.send(ask("post"))
         assert status == 200
         assert no_more_than(LEFT_S - HELD_UP_S, server.requests[0])
@@ -209,10 +211,10 @@
     """Holds the process up between the decision for one of the attempts and its begin."""
 
     def __init__(self, made: Gateway, which: int, hold_up: Callable[[], None]) -> None:
-        self._assign = made.runtime._perform[interface.Assign]
+        self._assign = made.runtime._action_handlers[interface.Assign]
         self._which, self._hold_up = which, hold_up
         self.seen = 0
-        made.runtime._perform[interface.Assign] = self
+        made.runtime._action_handlers[interface.Assign] = self
 
     def __call__(self, action: interface.Assign) -> None:
         self.seen += 1
@@ -259,7 +261,7 @@
         stalls = Stalls(made, 2, stepped.hold_up)
         assert (await client.send(ask()))[0] == 200
         assert stalls.seen == 2
-        patience = PATIENCE_AIM * SETTINGS["classes"][0]["on-time-ns"] / clock.NS_PER_S
+        patience = OVERDUE_AIM_FRACTION * SETTINGS["classes"][0]["on-time-ns"] / clock.NS_PER_S
         assert no_more_than(LEFT_S - patience - HELD_UP_S, server.requests[-1])
 
     run(scenario())
@@ -290,9 +292,9 @@
     class Held(Dial):
         """A connection that is up; the loop is busy and runs neither this nor the timer meanwhile."""
 
-        def _writable(self) -> None:
+        def _on_writable(self) -> None:
             self._stop()
-            held.append(super()._writable)
+            held.append(super()._on_writable)
 
     monkeypatch.setattr(backend, "Dial", Held)
     stepped = SteppedClock(monkeypatch)
@@ -321,7 +323,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch, age_ns: int | None) -> None:
         self.now, self.age_ns = 1_000 * clock.NS_PER_S, age_ns
         monkeypatch.setattr(clock, "now", lambda: self.now)
-        monkeypatch.setattr(arrival, "last_data_age_ns", lambda sock: self.age_ns)
+        monkeypatch.setattr(arrival_times, "last_data_age_ns", lambda sock: self.age_ns)
 
     def after(self, seconds: float) -> int:
         self.now += int(seconds * clock.NS_PER_S)
@@ -331,32 +333,32 @@
 def test_where_the_age_of_data_is_unknown_it_came_as_it_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     ages = Ages(monkeypatch, None)
     with socket.socket() as sock:
-        arrivals = arrival.Arrivals(sock, ages.now)
+        arrivals = arrival_times.ArrivalTracker(sock, ages.now)
         ages.after(1.0)
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True) == arrival.Arrival(ages.now, ages.now)
+        assert arrivals.end_read(emptied=True) == arrival_times.ArrivalTimes(ages.now, ages.now)
 
 
 def test_an_age_counts_only_back_to_when_the_connection_held_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     ages = Ages(monkeypatch, 3600 * clock.NS_PER_S)  # by another clock
     with socket.socket() as sock:
         empty_at = ages.now
-        arrivals = arrival.Arrivals(sock, empty_at)
+        arrivals = arrival_times.ArrivalTracker(sock, empty_at)
         began_at = ages.after(0.1)
         arrivals.begin_read()
         ages.after(0.01)
-        assert arrivals.end_read(emptied=False).latest == empty_at  # more of the same is still unread
+        assert arrivals.end_read(emptied=False).latest_ns == empty_at  # more of the same is still unread
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True).latest == empty_at
+        assert arrivals.end_read(emptied=True).latest_ns == empty_at
         ages.after(0.01)
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True).latest == began_at + 10 * clock.NS_PER_MS
+        assert arrivals.end_read(emptied=True).latest_ns == began_at + 10 * clock.NS_PER_MS
 
 
 def test_of_what_a_pause_kept_unread_only_the_last_has_a_known_age(monkeypatch: pytest.MonkeyPatch) -> None:
     ages = Ages(monkeypatch, None)
     with socket.socket() as sock:
-        arrivals = arrival.Arrivals(sock, ages.now)
+        arrivals = arrival_times.ArrivalTracker(sock, ages.now)
         began_at = ages.after(0.1)
         arrivals.begin_read()
         arrivals.end_read(emptied=True)
@@ -365,10 +367,12 @@
         ages.age_ns = AGE_NS
         for emptied in (False, True):
             arrivals.begin_read()
-            assert arrivals.end_read(emptied) == arrival.Arrival(began_at, ages.now - AGE_NS)
+            assert arrivals.end_read(emptied) == arrival_times.ArrivalTimes(began_at, ages.now - AGE_NS)
         ages.after(1.0)
         arrivals.begin_read()
-        assert arrivals.end_read(emptied=True) == arrival.Arrival(ages.now - AGE_NS, ages.now - AGE_NS)
+        assert arrivals.end_read(emptied=True) == arrival_times.ArrivalTimes(
+            ages.now - AGE_NS, ages.now - AGE_NS
+        )
 
 
 def test_the_kernel_tells_how_long_data_lay_in_the_backlog_and_unread() -> None:
@@ -379,7 +383,7 @@
         accepted, _ = listener.accept()
         with client, accepted:
             for _ in range(2):
-                age = arrival.last_data_age_ns(accepted)
+                age = arrival_times.last_data_age_ns(accepted)
                 assert age is not None
                 assert age >= (HELD_UP_S - 0.02) * clock.NS_PER_S  # its clock is coarse
                 accepted.recv(10)
@@ -395,5 +399,5 @@
 def test_an_age_that_the_system_does_not_tell_is_unknown() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs, Short() as short:
-        assert arrival.last_data_age_ns(ours) is None
-        assert arrival.last_data_age_ns(short) is None
+        assert arrival_times.last_data_age_ns(ours) is None
+        assert arrival_times.last_data_age_ns(short) is None
