--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -224,7 +224,7 @@
                 self._decide(inflight, covered)
         # Taken back at once only while the counter keeps up: a quarter of its calls told of refusals.
         owed = customer.unreported < 0 and self.quotas.read_fraction >= IN_TIME_ASKING
-        owed = owed or (customer.unreported > 0 and call.adds_later)
+        owed = owed or (customer.unreported > 0 and call.books_later)
         if customer.counter_answered:
             self.actions += self.quotas.start_repair(customer, self.now)
         if customer.waiting or (customer.counter_answered and owed):
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -34,13 +34,13 @@
         self.settings = settings
         self.clock = clock
         self.rng = rng
-        self.start = start
+        self.started_ns = start
         self.plans = {plan.name: plan for plan in settings.plans}
         self.customers: dict[tuple[str, str], Customer] = {}
         self.calls: dict[int, CounterCall] = {}
         self.speculation = SpeculativeAdmission(rng)
         self.read_fraction = self.sustained_fraction = 1.0
-        self.answered_at = start
+        self.answered_at_ns = start
 
     def customer(self, request: interface.Request, now: int) -> Customer:
         """The customer of a request, with counters refilled; a wrong plan in its name is counted apart."""
@@ -48,8 +48,8 @@
         if key not in self.customers and len(self.customers) >= MAX_CUSTOMERS:
             del self.customers[next(iter(self.customers))]  # the one known for longest
         customer = self.customers[key] = self.customers.get(key) or Customer(request, self, now)
-        customer.advance(now)
-        customer.last_request_at = now
+        customer.refill_allowances(now)
+        customer.last_request_at_ns = now
         return customer
 
     def check_quota(self, inflight: InFlightRequest[Customer], now: int) -> bool | None:
@@ -84,7 +84,7 @@
     def admits_without_reading(self, inflight: InFlightRequest[Customer], now: int) -> bool:
         """Whether to let in a doubtful request unasked; by the even split while the counter is away."""
         customer, units, doubt = inflight.customer, inflight.request.units, inflight.uncertainty
-        silent = now - self.answered_at > COUNTER_SILENT_NS and not self.clock.suspends_counts(now)
+        silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_counts(now)
         if doubt is None or silent:
             return customer.covers_without_reading(units)
         return (doubt.is_worthwhile and customer.share_covers(units)) or self.speculation.admits(doubt)
@@ -128,7 +128,7 @@
         customer.report_scheduled = False
         # Guards against ever more calls for customers seen once, each turned away and made again: what was
         # used so long ago that the store has refilled since is no news.
-        if (now - customer.last_request_at) * customer.plan.rate > customer.allowance.cap * SECOND:
+        if (now - customer.last_request_at_ns) * customer.plan.rate > customer.allowance.cap * SECOND:
             customer.unreported = min(0.0, customer.unreported)
         if customer.pending_call is not None or not (customer.waiting or customer.unreported or repair):
             return []
@@ -147,10 +147,10 @@
         if (
             not customer.repair_due
             or customer.pending_call
-            or now - customer.repaired_at < customer.repair_settle_ns
+            or now - customer.repaired_at_ns < customer.repair_settle_ns
         ):
             return []
-        customer.repaired_at = now
+        customer.repaired_at_ns = now
         return self.start_call(customer, now, customer.repair_due)
 
     def handle_answer(
@@ -165,7 +165,7 @@
             # Added to a count that the others do not read: it is owed to theirs.
             answer = replace(answer, status=interface.Status.UNUSED)
         call.clock_agreed = call.clock_agreed and self.clock.agrees(now)
-        customer.advance(now)
+        customer.refill_allowances(now)
         customer.pending_call = None
         customer.counter_answered = answer.status is interface.Status.DELIVERED
         if (
@@ -175,7 +175,7 @@
                 not customer.counter_answered or 2 * answer.elapsed_ns > self.settings.counter_wait_ns
             )
         if customer.counter_answered:
-            self.answered_at = now
+            self.answered_at_ns = now
             return customer, customer.apply_reading(call, answer.level, now)
         if answer.status.never_ran:
             customer.unreported += call.reported
@@ -195,7 +195,7 @@
         self.clock.answered(answer, now)
         if self.clock.steps != steps:
             for customer in self.customers.values():
-                customer.advance(now)
+                customer.refill_allowances(now)
                 customer.discard_readings(now)
 
     def adapt_read_fraction(self, late: bool) -> None:
@@ -213,6 +213,6 @@
         """Drop idle full counters, so that customers seen once do not fill the memory."""
         for key in list(self.customers):
             customer = self.customers[key]
-            customer.advance(now)
+            customer.refill_allowances(now)
             if customer.is_idle(now):
                 del self.customers[key]
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -42,8 +42,8 @@
     c.unreported = told
     call = CounterCall(c, c.count_name(now)[1], repair)
     c.unreported = 0.0
-    c.advance(now)
-    drained = c.plan.rate * (now - call.count_began) / SECOND
+    c.refill_allowances(now)
+    drained = c.plan.rate * (now - call.count_began_ns) / SECOND
     c.apply_reading(call, level + drained, now)
 
 
@@ -80,7 +80,7 @@
 
 def lacking(policy: Policy, call: interface.Count, units: float, now: int) -> interface.Counted:
     """The answer of a count whose store lacks so much."""
-    drained = 2.0 * (now - policy.quotas.calls[call.count].count_began) / SECOND
+    drained = 2.0 * (now - policy.quotas.calls[call.count].count_began_ns) / SECOND
     return interface.Counted(call.count, DELIVERED, units + drained, MS)
 
 
@@ -372,10 +372,10 @@
     c = customer(plan="capped")
     assert c.ceiling_allowance is not None
     assert not c.ceiling_allowance.covers(1)
-    c.advance(SECOND)
+    c.refill_allowances(SECOND)
     assert c.ceiling_allowance.covers(20 / 3 - c.ceiling_allowance.m)
     assert not c.ceiling_allowance.covers(20 / 3 + 2 * EPSILON)
-    c.advance(60 * SECOND)
+    c.refill_allowances(60 * SECOND)
     assert c.ceiling_allowance.covers((27 + 3) / 3)
     assert not c.ceiling_allowance.covers((27 + 6) / 3)
 
@@ -383,7 +383,7 @@
 def test_without_a_counter_the_ceiling_is_shared_whole() -> None:
     quotas = policy_with_servers(has_counter=False).quotas
     c = Customer(request(1, customer="c", plan="capped", entries=3), quotas, 0)
-    c.advance(60 * SECOND)
+    c.refill_allowances(60 * SECOND)
     assert c.ceiling_allowance is not None
     assert c.ceiling_allowance.covers(60 / 3)
     assert not c.ceiling_allowance.covers((60 + 6) / 3)
@@ -632,7 +632,7 @@
             policy.quotas.read_fraction = policy.quotas.sustained_fraction = asking
             ask = request(number, plan="small", customer=f"c{number}", entries=35)
             asked, number = calls(policy.handle(number * MS, [ask])), number + 1
-        (call,), began = asked, policy.quotas.calls[asked[0].count].count_began
+        (call,), began = asked, policy.quotas.calls[asked[0].count].count_began_ns
         full = 8.0 + call.amount + 2.0 * (policy.now - began) / SECOND
         told = policy.handle(
             policy.now + MS, [interface.Counted(call.count, interface.Status.DELIVERED, full, MS)]
