--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -32,7 +32,7 @@
 
 TOLERATED_SURPLUS = 0.25  # of the burst: refill beyond a full store up to which a count is not repaired
 TOLERATED_OVERUSE = 0.5  # of the burst: use beyond an empty store up to which a count is not repaired
-# In longest waits for an answer: by then a repair, and the undoing of duplicate repairs, has surely been read.
+# In longest waits for an answer: by then a repair, and the undoing of duplicates of it, has been read.
 REPAIR_SETTLE_WAITS = 4
 TRUST_PERIODS = 3.0  # readings older than so many report periods count for less and less
 CEILING_SLACK_USED = 0.5  # of the ceiling's slack; the rest is for errors that this module does not foresee
@@ -193,7 +193,7 @@
         return int(max(0.0, units - self.allowance.level) / max(self.plan.rate, EPSILON) * SECOND)
 
     def ceiling_part_covers(self, units: float) -> bool:
-        """Whether this gateway's part of the ceiling, if there is one, covers units that no reading booked."""
+        """Whether this gateway's part of the ceiling, if any, covers units that no reading has booked."""
         return self.ceiling_allowance is None or self.ceiling_allowance.covers(units)
 
     def covers_without_reading(self, units: float) -> bool:
@@ -211,7 +211,7 @@
         return self.share_allowance.covers(units - min(self.even_burst, units * SHARE_ADVANCE))
 
     def count_name(self, now: int) -> tuple[int, int]:
-        """The name of the shared count at this time, and when it began; the name changes once in a count's TTL.
+        """The name of the shared count at this time, and when it began; the name changes after each TTL.
 
         The time is the one that the gateways have agreed on.  Their own clocks come from the wall clocks of
         their machines, which may differ: then some gateways would use counts of other names, and grant the
