--- a/gingerworks/gateway/arrival_times.py
+++ b/gingerworks/gateway/arrival_times.py
@@ -1,4 +1,8 @@
-"""When the data of a connection came, by the kernel's account and within what the reader itself knows."""
+"""When the data of a connection arrived, which may be long before it is read.
+
+The kernel knows how long ago the latest data arrived (``TCP_INFO``).  ``ArrivalTracker`` combines this with
+what the reader knows: the last time at which nothing was unread.
+"""
 
 from __future__ import annotations
 
@@ -8,20 +12,20 @@
 
 from gingerworks.gateway import clock
 
-# struct tcp_info of linux/tcp.h: eight bytes, then fields of four; the twelfth is tcpi_last_data_recv.
+# struct tcp_info of linux/tcp.h: eight bytes, then fields of four bytes; the twelfth is tcpi_last_data_recv.
 _LAST_DATA_RECEIVED = struct.Struct("=52xI")
 
 
 @dataclass(frozen=True)
 class ArrivalTimes:
-    """Between which times the data of one read came."""
+    """The times between which the data of one read arrived."""
 
     earliest_ns: int
-    latest_ns: int  # of its last byte
+    latest_ns: int  # arrival of the last byte
 
 
 def last_data_age_ns(sock: socket.socket) -> int | None:
-    """How long ago data last came on a TCP connection, be it read or not; none where that is unknown."""
+    """How long ago data last arrived on a TCP connection, whether read or not; None if unknown."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA_RECEIVED.size)
     except OSError:
@@ -33,42 +37,42 @@
 
 
 class ArrivalTracker:
-    """The arrival times on one connection; its reader tells of each read and of each pause.
+    """Finds the arrival times of one connection's data; its reader reports each read and each pause.
 
-    The kernel tells the age of the latest data alone, and on some systems nothing or by another clock.  So an
-    age counts only as far back as the connection is known to have held nothing unread.
+    The kernel knows the age of the latest data only, and some systems report none or measure it with another
+    clock.  So an age counts only back to the last time at which the connection held nothing unread.
     """
 
-    def __init__(self, sock: socket.socket, empty_at: int) -> None:
-        """Nothing came before ``empty_at``."""
+    def __init__(self, sock: socket.socket, empty_at_ns: int) -> None:
+        """No data came before ``empty_at_ns``."""
         self._socket = sock
-        self._empty_at = empty_at  # whatever is unread came later
-        self._began_at = empty_at
+        self._empty_at_ns = empty_at_ns  # all unread data came after this time
+        self._read_began_at_ns = empty_at_ns
         self._paused = False
 
     def begin_read(self) -> None:
-        """What comes from now on may be left for the next read."""
-        self._began_at = clock.now()
+        """A read begins: data that arrives from now on may be left for the next read."""
+        self._read_began_at_ns = clock.now()
 
     def pause(self) -> None:
-        """Nothing is read for now: what comes meanwhile may wait for as long as that lasts."""
+        """Reading pauses: data that arrives meanwhile may stay unread for as long as the pause lasts."""
         self._paused = True
 
-    def resume(self, began_at: int, emptied: bool) -> None:
-        """Reading goes on; ``emptied``: nothing lay unread at ``began_at``.
+    def resume(self, began_at_ns: int, emptied: bool) -> None:
+        """Reading goes on; ``emptied`` says that nothing was unread at ``began_at_ns``.
 
-        Guards against counting what comes after a pause as if it had come during it.
+        In that case data that arrives from now on did not arrive during the pause.
         """
         if emptied:
-            self._empty_at, self._paused = began_at, False
+            self._empty_at_ns, self._paused = began_at_ns, False
 
     def end_read(self, emptied: bool) -> ArrivalTimes:
-        """When the data of this read came; ``emptied``: nothing was left unread as it began."""
+        """The arrival times of this read's data; ``emptied`` says that it left none of what was there."""
         now = clock.now()
         age = last_data_age_ns(self._socket)
-        latest_ns = now if age is None else min(now, max(now - age, self._empty_at))
-        # Of several messages that a pause kept unread the kernel knows only the last one's age.
-        earliest_ns = self._empty_at if self._paused else latest_ns
+        latest_ns = now if age is None else min(now, max(now - age, self._empty_at_ns))
+        # If several messages came in during a pause, the kernel knows only the age of the last one.
+        earliest_ns = self._empty_at_ns if self._paused else latest_ns
         if emptied:
-            self._empty_at, self._paused = self._began_at, False
+            self._empty_at_ns, self._paused = self._read_began_at_ns, False
         return ArrivalTimes(earliest_ns, latest_ns)
--- a/gingerworks/gateway/read_retry.py
+++ b/gingerworks/gateway/read_retry.py
@@ -1,4 +1,8 @@
-"""Reads a socket again after a pause, where this host had no buffers to read it."""
+"""Retries a read after a pause if this host had no buffers for it.
+
+Meanwhile the event loop doesn't watch the socket: it counts as readable all the time, so the loop would call
+the reader again and again and use up a processor core.
+"""
 
 from __future__ import annotations
 
@@ -12,27 +16,24 @@
 def retry_read_later(
     loop: asyncio.AbstractEventLoop,
     sock: socket.socket,
-    readable: Callable[[], None],
-    held: Callable[[], bool],
+    on_readable: Callable[[], None],
+    is_open: Callable[[], bool],
 ) -> None:
-    """Stop watching the socket for a while; ``held`` tells whether its owner still has it then.
-
-    Guards against a spin: a socket counts as readable while this host has no buffers to read it.
-    """
+    """Stop watching the socket for a while; ``is_open`` tells whether its owner still uses it then."""
     loop.remove_reader(sock.fileno())
-    loop.call_later(SHORTAGE_RETRY_DELAY_S, retry_read, loop, sock, readable, held)
+    loop.call_later(SHORTAGE_RETRY_DELAY_S, retry_read, loop, sock, on_readable, is_open)
 
 
 def retry_read(
     loop: asyncio.AbstractEventLoop,
     sock: socket.socket,
-    readable: Callable[[], None],
-    held: Callable[[], bool],
+    on_readable: Callable[[], None],
+    is_open: Callable[[], bool],
 ) -> None:
-    """Watch the socket again, unless it was closed meanwhile."""
-    if not held():
+    """Watch the socket again, unless its owner has closed it meanwhile."""
+    if not is_open():
         return
     try:
-        loop.add_reader(sock.fileno(), readable)
+        loop.add_reader(sock.fileno(), on_readable)
     except OSError:
-        retry_read_later(loop, sock, readable, held)
+        retry_read_later(loop, sock, on_readable, is_open)
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -1,4 +1,9 @@
-"""What a client may ask: the checks of one request, and what of it goes on to a server."""
+"""Requests of clients: their framing and size limits, their validation, and the head to forward to a server.
+
+``Message`` collects one HTTP request while it is parsed.  ``RequestValidator`` translates it into a request
+of the decision module, after checking it against the settings and against the correlation ids of recent
+requests.  A request that fails a check raises ``RequestRejected`` with the HTTP status for the client.
+"""
 
 from __future__ import annotations
 
@@ -9,19 +14,19 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_REMEMBERED_IDS = 50_000  # remembered; with more in their time the older half is forgotten sooner
+MAX_REMEMBERED_IDS = 50_000  # bounds the memory: if more ids come in, the older half is forgotten early
 CUSTOMER_ID_LIMIT = 1 << 33
-MAX_TIME_LEFT_S = 3600.0
+MAX_TIME_LEFT_S = 3600.0  # a longer X-Time-Left counts as this
 HTTP_VERSIONS = ("1.1", "1.0")
 
-# Ours, or about this connection only; all else that a client sends goes on to the server.
+# Header fields that the gateway sets itself or that concern this connection only.  All others are forwarded.
 NOT_FORWARDED = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
         b"upgrade", b"expect", b"content-length", b"x-time-left",
     )
 )  # fmt: skip
-# Guards against two meanings of one request, here and at the server.
+# Header fields that may come once only: of two, the gateway and the server might read different ones.
 SINGLE_VALUED = frozenset(
     (
         b"host", b"content-length", b"transfer-encoding", b"expect", b"x-correlation-id", b"x-service-class",
@@ -34,15 +39,15 @@
 
 
 class RequestRejected(Exception):
-    """A request that is none: the status that says so, and why."""
+    """A request that is not valid or not acceptable now: the HTTP status and the text for the client."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Message:
-    """One request as it is read."""
+    """One HTTP request, filled in by the parser's callbacks."""
 
     __slots__ = ("arrived_at_ns", "body", "head_bytes", "headers", "keep_alive", "method", "target")
 
@@ -53,18 +58,19 @@
         self.head_bytes = 0
         self.body = b""
         self.keep_alive = True
-        self.arrived_at_ns = 0  # when its last byte came
+        self.arrived_at_ns = 0  # the earliest time at which its last byte can have come
 
     def count_head_bytes(self, size: int) -> None:
-        """Count bytes of the head."""
+        """Count bytes of the head; rejects the request if they are too many."""
         self.head_bytes += size
         if self.head_bytes > MAX_HEAD_BYTES:
             raise RequestRejected(431, "the head is too large")
 
     def check_framing(self, version: str) -> None:
-        """At the end of the head: whether where the body ends is plain, and within bounds.
+        """Reject a head that leaves the end of the body unclear, or announces too large a body.
 
-        Guards against a second request hidden in a body, and against waiting for what is refused anyway.
+        An unclear end allows request smuggling: a second request hidden in the body.  A body that is too
+        large is rejected before it is received.
         """
         if version not in HTTP_VERSIONS:
             raise RequestRejected(400, "not HTTP/1")
@@ -73,7 +79,7 @@
         if coding is not None and (length is not None or coding.lower() != b"chunked"):
             raise RequestRejected(400, "Transfer-Encoding: with a length, or not chunked")
         if length is not None and (
-            (octets := number_parsing.parse_whole(length)) is None or octets > MAX_BODY_BYTES
+            (body_bytes := number_parsing.parse_whole(length)) is None or body_bytes > MAX_BODY_BYTES
         ):
             raise RequestRejected(413, "the body is too large")
 
@@ -83,15 +89,15 @@
         return headers.get(b"content-length", b"0") != b"0" or b"transfer-encoding" in headers
 
     def lowercase_headers(self) -> list[tuple[bytes, bytes]]:
-        """The headers by lower-case names; one that must not be doubled raises ``RequestRejected``."""
+        """The headers with lower-case names; rejects the request if a single-valued one is repeated."""
         headers = [(name.lower(), value) for name, value in self.headers]
-        once = [name for name, _ in headers if name in SINGLE_VALUED]
-        if len(once) != len(set(once)):
+        single_valued = [name for name, _ in headers if name in SINGLE_VALUED]
+        if len(single_valued) != len(set(single_valued)):
             raise RequestRejected(400, "a header that must not be doubled")
         return headers
 
     def forwarded_head(self) -> bytes:
-        """The head as it goes on, but for the time left and the empty line."""
+        """The head for the server, without the time left and the empty line, which each attempt adds."""
         lines = [b"%b %b HTTP/1.1\r\n" % (self.method, self.target)]
         lines += [
             b"%b: %b\r\n" % (name, value) for name, value in self.headers if name.lower() not in NOT_FORWARDED
@@ -102,39 +108,39 @@
 
 
 class RequestValidator:
-    """Holds requests against the settings and against the ids seen of late."""
+    """Validates requests against the settings and against the correlation ids of recent requests."""
 
     def __init__(self, settings: interface.Settings) -> None:
-        self._classes = {kind.name.encode(): kind for kind in settings.classes}
+        self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         self._gateways = settings.gateways
         self._max_units = settings.max_units
-        # Ids are kept for the longest deadline at least: by then no request with them is open any more.
-        self._id_lifetime_ns = max(kind.deadline_ns for kind in settings.classes)
+        # Ids are kept for the longest deadline at least: after that no request with that id is in flight.
+        self._id_lifetime_ns = max(request_class.deadline_ns for request_class in settings.classes)
         self._recent_ids: set[bytes] = set()
         self._older_ids: set[bytes] = set()
         self._rotated_at_ns = clock.now()
 
     def validate(self, message: Message) -> interface.Request:
-        """Translate; ``RequestRejected`` where it is not as the protocol wants it."""
+        """Translate a message into a request; raises ``RequestRejected`` if it is not valid."""
         headers = dict(message.lowercase_headers())
         request = self._to_request(message, headers)
-        correlation = headers.get(b"x-correlation-id", b"")
-        if not _ID.fullmatch(correlation):
+        correlation_id = headers.get(b"x-correlation-id", b"")
+        if not _ID.fullmatch(correlation_id):
             raise RequestRejected(400, "X-Correlation-Id: missing or bad")
-        self._remember_id(correlation)
+        self._remember_id(correlation_id)
         return request
 
     def _to_request(self, message: Message, headers: dict[bytes, bytes]) -> interface.Request:
-        kind = self._classes.get(headers.get(b"x-service-class", b""))
+        request_class = self._classes.get(headers.get(b"x-service-class", b""))
         path = message.target.partition(b"?")[0].split(b"/")
         if not _TARGET.fullmatch(message.target):
             raise RequestRejected(400, "the target has characters that it must not have")
         if len(path) != 3 or path[0] or path[1] not in self._classes:
             raise RequestRejected(404, "no such path")
-        if kind is None or kind.name.encode() != path[1]:
+        if request_class is None or request_class.name.encode() != path[1]:
             raise RequestRejected(400, "X-Service-Class: not the path's")
-        safe = kind.effect is interface.Effect.SAFE
+        safe = request_class.effect is interface.Effect.SAFE
         if message.method != (b"GET" if safe else b"POST"):
             raise RequestRejected(405, "not this class's method")
         if safe and message.body:
@@ -144,17 +150,17 @@
             raise RequestRejected(400, "X-Contract: unknown")
         if not _CUSTOMER.fullmatch(path[2]) or int(path[2], 16) >= CUSTOMER_ID_LIMIT:
             raise RequestRejected(400, "the customer is not 16 hex digits below 2^33")
-        left = number_parsing.parse_decimal(headers.get(b"x-time-left", b""))
-        if not left:
+        time_left = number_parsing.parse_decimal(headers.get(b"x-time-left", b""))
+        if not time_left:
             raise RequestRejected(400, "X-Time-Left: missing or bad")
         units, spread = self._parse_metering(headers.get(b"x-metering", b""))
         return interface.Request(
             id=0,
-            class_name=kind.name,
+            class_name=request_class.name,
             plan=plan,
             customer=path[2].decode().lower(),
             entries=spread,
-            ttl_ns=int(min(left, MAX_TIME_LEFT_S) * clock.NS_PER_S),
+            ttl_ns=int(min(time_left, MAX_TIME_LEFT_S) * clock.NS_PER_S),
             units=units,
             is_retry=headers.get(b"x-repeat") == b"1",
         )
@@ -170,15 +176,16 @@
             raise RequestRejected(400, "X-Metering: no set of gateways")
         return units, spread
 
-    def _remember_id(self, correlation: bytes) -> None:
-        if correlation in self._recent_ids or correlation in self._older_ids:
+    def _remember_id(self, correlation_id: bytes) -> None:
+        if correlation_id in self._recent_ids or correlation_id in self._older_ids:
             raise RequestRejected(409, "X-Correlation-Id: seen before")
         now = clock.now()
         if (
             now - self._rotated_at_ns >= self._id_lifetime_ns
             or len(self._recent_ids) >= MAX_REMEMBERED_IDS // 2
         ):
-            # Guards against remembering without bound: two generations, each kept for its time.
+            # Two sets bound the memory and the time: each takes new ids for one lifetime and is then kept as
+            # the older one until the next rotation.
             older = self._recent_ids if now - self._rotated_at_ns < 2 * self._id_lifetime_ns else set()
             self._recent_ids, self._older_ids, self._rotated_at_ns = set(), older, now
-        self._recent_ids.add(correlation)
+        self._recent_ids.add(correlation_id)
--- a/gingerworks/gateway/shutdown.py
+++ b/gingerworks/gateway/shutdown.py
@@ -1,7 +1,8 @@
 """The graceful shutdown: its phases, and the times by which requests are answered and the process ends.
 
-The supervisor sends SIGKILL a known time after SIGTERM, and a request that is still open then is lost.  All
-times are therefore fixed at the moment of SIGTERM, from the settings and on the gateway's own clock.
+The supervisor sends SIGKILL a known time after SIGTERM, and a request that is still open then is lost.  So
+all times are fixed at the moment of SIGTERM, from the settings and on the gateway's own clock.  This module
+keeps the state and computes the times; the front end closes connections and sets the timers.
 """
 
 from __future__ import annotations
@@ -13,24 +14,24 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 
-MAX_COUNTED_DEADLINE_NS = 3 * clock.NS_PER_S  # counted by the supervisor, however long the settings' own are
-KILL_DELAY_NS = 700 * clock.NS_PER_MS  # after the longest deadline: SIGKILL comes no sooner
-STALL_ALLOWANCE_NS = (
-    150 * clock.NS_PER_MS
-)  # for so long a gateway may be held up between its clock and a write
-EXIT_MARGIN_NS = 100 * clock.NS_PER_MS  # before SIGKILL: for the process to end, its sockets with it
-QUIET_PERIOD_NS = 600 * clock.NS_PER_MS  # without a new connection: no more will come
-MAX_ACCEPT_NS = 2 * clock.NS_PER_S  # new connections are taken in for so long at the most
+# SIGKILL comes no sooner after SIGTERM than the longest deadline of the classes, of which the supervisor
+# counts at most MAX_COUNTED_DEADLINE_NS, and then KILL_DELAY_NS.
+MAX_COUNTED_DEADLINE_NS = 3 * clock.NS_PER_S
+KILL_DELAY_NS = 700 * clock.NS_PER_MS
+STALL_ALLOWANCE_NS = 150 * clock.NS_PER_MS  # a busy machine may delay the write of an answer by so much
+EXIT_MARGIN_NS = 100 * clock.NS_PER_MS  # before SIGKILL: for the process to exit and its sockets to close
+QUIET_PERIOD_NS = 600 * clock.NS_PER_MS  # with no new connection in this time, no more are expected
+MAX_ACCEPT_NS = 2 * clock.NS_PER_S  # new connections are accepted for at most so long after SIGTERM
 
 
 class ShutdownPhase(Enum):
-    """How far the shutdown has come."""
+    """How far the shutdown has got."""
 
     SERVING = "no SIGTERM has come"
-    ACCEPTING = "new connections are still taken in, idle ones are closed"
-    DRAINING = "the listener is closed, what is open is answered"
-    CLOSING = "the answers are due: whatever still comes is refused at once"
-    FINISHED = "the process ends"
+    ACCEPTING = "new connections are still accepted, idle ones are closed"
+    DRAINING = "the listener is closed, open requests are answered"
+    CLOSING = "all answers are due: whatever still arrives is refused at once"
+    FINISHED = "nothing is open any more, or the time is over: the process exits"
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,8 +45,8 @@
 
     @classmethod
     def starting_at(cls, started_ns: int, classes: Iterable[interface.RequestClass]) -> ShutdownSchedule:
-        """The schedule of a shutdown that starts now, for requests of these classes."""
-        longest_ns = min(MAX_COUNTED_DEADLINE_NS, max(kind.deadline_ns for kind in classes))
+        """The schedule of a shutdown that starts at this time, for requests of these classes."""
+        longest_ns = min(MAX_COUNTED_DEADLINE_NS, max(request_class.deadline_ns for request_class in classes))
         exit_due_ns = started_ns + longest_ns + KILL_DELAY_NS - EXIT_MARGIN_NS
         answers_due_ns = exit_due_ns - STALL_ALLOWANCE_NS
         accept_until_ns = min(started_ns + MAX_ACCEPT_NS, answers_due_ns)
@@ -53,7 +54,7 @@
 
 
 class GracefulShutdown:
-    """The state machine of the shutdown; the front end owns it and carries out what a phase asks for."""
+    """The state machine of the shutdown; the front end owns it and acts on its phases."""
 
     def __init__(self, classes: Iterable[interface.RequestClass]) -> None:
         self.phase = ShutdownPhase.SERVING
@@ -81,28 +82,28 @@
         return self._schedule
 
     def connection_accepted(self, now_ns: int) -> None:
-        """A new connection was taken in."""
+        """A new connection was accepted."""
         self._last_accept_ns = now_ns
 
     def accept_remaining_ns(self, now_ns: int) -> int:
-        """How long new connections are still to be waited for; 0 once the listener may be closed."""
+        """How long to wait for new connections; 0 once the listener may be closed."""
         until_ns = min(self._last_accept_ns + QUIET_PERIOD_NS, self.schedule.accept_until_ns)
         return max(0, until_ns - now_ns)
 
     def listener_closed(self) -> None:
-        """Nobody new can come any more."""
+        """No new connection can come any more."""
         if self.phase is ShutdownPhase.ACCEPTING:
             self.phase = ShutdownPhase.DRAINING
 
     def answers_due(self) -> None:
-        """The time for answers is over."""
+        """The time by which all requests are answered has come."""
         if self.phase is not ShutdownPhase.FINISHED:
             self.phase = ShutdownPhase.CLOSING
 
     def finish(self) -> None:
-        """Nothing is owed to anybody any more, or the process has to end."""
+        """Every request is answered and every connection closed, or the process has to exit."""
         self.phase = ShutdownPhase.FINISHED
 
     def keeps_reading(self, now_ns: int) -> bool:
-        """Whether further requests on a connection are waited for, if only to be refused."""
+        """Whether further requests on open connections are still read, if only to be refused."""
         return now_ns < self.schedule.exit_due_ns
