--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -1,4 +1,10 @@
-"""Opening one TCP connection without a task, on a socket whose every byte the caller controls."""
+"""Opens outgoing TCP connections to servers and to the shared counter.
+
+``Dial`` opens one non-blocking connection with a time-out and calls back once it is up or has failed.  It
+hands over the plain socket, so that the caller controls every byte that is sent and knows which ones the
+kernel has accepted.  A failure is classified: either this host could not connect, or the other end could not
+be reached.
+"""
 
 from __future__ import annotations
 
@@ -11,34 +17,34 @@
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
-# Interrupted by a signal, a connection goes on coming up all the same (connect(2)).
-UNDER_WAY = (0, errno.EINPROGRESS, errno.EINTR)
+# After EINTR the connection is still established in the background (connect(2)).
+CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)
 
 
 class DialFailure(Enum):
-    """Whose fault it is that a connection did not come up."""
+    """Which side prevented a connection."""
 
-    LOCAL = "this host could not dial; it says nothing of the peer"
-    UNREACHABLE = "the peer refused, or the path to it does not work"
+    LOCAL = "this host could not connect; the peer may be well"
+    UNREACHABLE = "the peer refused the connection, or the path to it is broken"
 
 
 class DialError(Exception):
-    """A connection did not come up; the text says why and what an operator can do."""
+    """A connection could not be established; the text says why and what an operator can do."""
 
     def __init__(self, failure: DialFailure, text: str, code: int = 0) -> None:
-        """``code`` is the system's error number, where a system call failed."""
+        """``code`` is the errno of the failed system call, or 0 if no call failed."""
         super().__init__(text)
         self.failure = failure
         self.code = code
 
     @classmethod
     def from_errno(cls, failure: DialFailure, code: int) -> DialError:
-        """The failure of a system call."""
+        """Describe the failure of a system call."""
         return cls(failure, describe_error(code), code)
 
 
 class Dial:
-    """A connection on its way up: either ``done`` gets the socket or ``failed`` the reason, once."""
+    """A connection being established: calls ``on_connected`` or ``on_failed``, once, unless cancelled."""
 
     def __init__(
         self,
@@ -48,11 +54,11 @@
         on_connected: Callable[[socket.socket], None],
         on_failed: Callable[[DialError], None],
     ) -> None:
-        """Begin at once; an error that shows right away raises ``DialError``."""
+        """Start to connect; an immediate failure raises ``DialError``."""
         self._loop = loop
         self._on_connected = on_connected
         self._on_failed = on_failed
-        self._socket = _begin(address)
+        self._socket = _start_connecting(address)
         try:
             loop.add_writer(self._socket.fileno(), self._on_writable)
         except OSError as fault:
@@ -61,7 +67,7 @@
         self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
-        """Give it up; neither callback is called any more."""
+        """Give up; no callback is called any more."""
         self._stop()
         self._socket.close()
 
@@ -70,7 +76,7 @@
         self._loop.remove_writer(self._socket.fileno())
 
     def _on_timeout(self) -> None:
-        self._fail(DialError(DialFailure.UNREACHABLE, "it did not come up in time"))
+        self._fail(DialError(DialFailure.UNREACHABLE, "timed out while connecting"))
 
     def _fail(self, error: DialError) -> None:
         self.cancel()
@@ -80,7 +86,7 @@
         try:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as fault:
-            # Whether it came up is not known; nothing has been sent on it.
+            # It is unknown whether the connection was established, but nothing was sent on it.
             return self._fail(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
         if code:
             failure = DialFailure.LOCAL if code in LOCAL_CONNECT_ERRORS else DialFailure.UNREACHABLE
@@ -89,8 +95,8 @@
         return self._on_connected(self._socket)
 
 
-def _begin(address: Address) -> socket.socket:
-    """A socket whose connection is on its way up."""
+def _start_connecting(address: Address) -> socket.socket:
+    """A socket whose connection is being established."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -102,7 +108,7 @@
         sock.close()
         raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
     code = sock.connect_ex(address)
-    if code in UNDER_WAY:
+    if code in CONNECTING:
         return sock
     sock.close()
     local = code in LOCAL_CONNECT_ERRORS or code in NO_LOCAL_ROUTE
