--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -24,8 +24,8 @@
 
 # Counts are named by the number of their epoch within a lap.  A lap is no divisor of an hour, so that a clock
 # which is off by whole hours is found out instead of agreeing by chance.
-EPOCHS_IN_LAP = 7
-LAP_NS = EPOCHS_IN_LAP * COUNT_TTL_NS
+EPOCHS_PER_LAP = 7
+LAP_NS = EPOCHS_PER_LAP * COUNT_TTL_NS
 
 BEACON_LIFE_NS = 500 * MS
 STATED_STEP_NS = 100 * MS  # of the time that a beacon states: totals are exact to seven digits
@@ -126,21 +126,23 @@
         self._confirmations = 0  # of the renewal that is under way
         self._next = Step.READ
         self._started = False
-        self.due_at: int | None = None  # when the next call is to be made; none while one is out
+        self.due_at_ns: int | None = None  # when the next call is to be made; none while one is out
         self._attempted = False  # the first attempt at agreement is over
-        self.starts_until = 0  # the first attempt at agreement is given up then
-        self.steps = 0  # how often another time was taken over: earlier readings tell nothing after that
+        self.start_deadline_ns = 0  # the first attempt at agreement is given up then
+        self.clock_steps = (
+            0  # how often another time was taken over: earlier readings tell nothing after that
+        )
 
     def start(self, now: int) -> bool:
         """Begin, unless that was done or there is nobody to agree with; says whether it began."""
         if self._started or self._gateways <= 1:
             return False
-        self._started, self.starts_until, self.due_at = True, now + START_NS, now
+        self._started, self.start_deadline_ns, self.due_at_ns = True, now + START_NS, now
         if self._gateways > SMALL_FLEET:
-            self.due_at = now + int(self._rng.random() * self._gateways * FIRST_READ_NS_EACH)
+            self.due_at_ns = now + int(self._rng.random() * self._gateways * FIRST_READ_NS_EACH)
         return True
 
-    def time(self, now: int) -> int:
+    def agreed_time(self, now: int) -> int:
         """The agreed time, as far as this gateway knows it."""
         return now + self._offset_ns
 
@@ -148,7 +150,7 @@
         """Whether there is recent evidence that the other gateways name shared counts by the same time."""
         return self._gateways <= 1 or (self._agreed_until is not None and now <= self._agreed_until)
 
-    def suspends_counts(self, now: int) -> bool:
+    def suspends_customer_calls(self, now: int) -> bool:
         """Whether no shared count of a customer is to be called.
 
         So it is while the latest evidence is against this gateway's time.  A larger fleet that starts makes
@@ -156,16 +158,16 @@
         """
         return self._candidate_ns is not None or (self._gateways > SMALL_FLEET and self._is_starting(now))
 
-    def holds_counts(self, now: int) -> bool:
+    def defers_customer_calls(self, now: int) -> bool:
         """Whether calls for customers wait: a small fleet makes its first attempt in milliseconds."""
         return self._gateways <= SMALL_FLEET and self._is_starting(now)
 
     def _is_starting(self, now: int) -> bool:
-        return not self._attempted and now < self.starts_until
+        return not self._attempted and now < self.start_deadline_ns
 
-    def call(self, now: int) -> interface.Count | None:
+    def take_due_call(self, now: int) -> interface.Count | None:
         """The call that is due, if any."""
-        if self._call is not None or self.due_at is None or now < self.due_at:
+        if self._call is not None or self.due_at_ns is None or now < self.due_at_ns:
             return None
         step = self._next
         if step is Step.BEACON and not self.agrees(now):
@@ -175,17 +177,17 @@
         if step is Step.CHECK_FIRST:
             self._checked_at, self._presence_changed = now, False
         if step in (Step.BEACON, Step.CLAIM) and self._lap_ends(now):
-            self.due_at = now + SETTLE_NS
+            self.due_at_ns = now + SETTLE_NS
             return None
         count, amount, keep_ns = self._parameters(step, now)
-        self._call, self.due_at = PendingCall(step, count, amount, now), None
+        self._call, self.due_at_ns = PendingCall(step, count, amount, now), None
         return interface.Count(count, amount, keep_ns)
 
-    def owns(self, count: int) -> bool:
+    def awaits(self, count: int) -> bool:
         """Whether an answer for this count is for ``answered``."""
         return self._call is not None and self._call.count == count
 
-    def answered(self, answer: interface.Counted, now: int) -> None:
+    def handle_answer(self, answer: interface.Counted, now: int) -> None:
         """Take in the answer to the call that is out, and plan the next one."""
         call, self._call = self._call, None
         if call is None:
@@ -215,7 +217,7 @@
 
     def _lap_ends(self, now: int) -> bool:
         """Whether a beacon could meet one of the next lap: times of two laps have no mean."""
-        return self.time(now) % LAP_NS >= LAP_NS - SETTLE_NS
+        return self.agreed_time(now) % LAP_NS >= LAP_NS - SETTLE_NS
 
     def _parameters(self, step: Step, now: int) -> tuple[int, float, int]:
         """Name, amount and life for the call of this step."""
@@ -223,12 +225,12 @@
             case Step.READ:
                 return BEACON_NAME, 0.0, READ_LIFE_NS
             case Step.CLAIM | Step.BEACON:
-                stated = self.time(now) % LAP_NS // STATED_STEP_NS
+                stated = self.agreed_time(now) % LAP_NS // STATED_STEP_NS
                 return BEACON_NAME, float(BEACON + stated), BEACON_LIFE_NS
             case Step.LOCK:
                 return LOCK_NAME, 1.0, LOCK_LIFE_NS
             case Step.RENEW:
-                turn = self.time(now) // PRESENCE_TURN_NS
+                turn = self.agreed_time(now) // PRESENCE_TURN_NS
                 return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_TTL_NS
             case Step.CHECK_FIRST | Step.CHECK_SECOND:
                 return PRESENCE_NAMES[step is Step.CHECK_SECOND], 0.0, READ_LIFE_NS
@@ -326,7 +328,7 @@
         The call had its turn between ``made_at`` and ``now``, at a time from the stated one on until the
         beacon's life is over.
         """
-        earliest = _difference(stated_ns, self.time(now))
+        earliest = _difference(stated_ns, self.agreed_time(now))
         latest = earliest + STATED_STEP_NS + BEACON_LIFE_NS + LATE_NS + (now - made_at)
         if earliest <= SLEW_MOST_NS and latest >= -SLEW_MOST_NS:
             self._offset_ns += max(0, earliest) + min(0, latest)
@@ -353,7 +355,7 @@
         confirmed = seen is not None and abs(_difference(offset_ns, seen)) <= CONFIRMED_NS
         if is_single and confirmed and now - self._candidate_at >= SETTLE_NS:
             self._offset_ns = offset_ns
-            self.steps += 1
+            self.clock_steps += 1
             self._agree(now)
         elif self._candidate_ns is None or (is_single and not confirmed):
             self._candidate_ns, self._candidate_at = offset_ns, now
@@ -387,7 +389,7 @@
             self._plan(Step.BEACON, self._beacon_at)
 
     def _plan(self, step: Step, at: int) -> None:
-        self._next, self.due_at = step, at
+        self._next, self.due_at_ns = step, at
 
     def _read_pause_most(self) -> int:
         return max(READ_NS, self._gateways * READ_NS_EACH)
--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -24,7 +24,7 @@
 from typing import Protocol
 
 from gingerworks import interface
-from gingerworks.policy.clock_sync import EPOCHS_IN_LAP, ClockSync
+from gingerworks.policy.clock_sync import EPOCHS_PER_LAP, ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.in_flight import InFlightRequest
@@ -217,8 +217,8 @@
         their machines, which may differ: then some gateways would use counts of other names, and grant the
         reserve of the ceiling once more.
         """
-        epoch, age = divmod(self.clock.time(now) + self.epoch_offset_ns, COUNT_TTL_NS)
-        digest = hashlib.blake2b(f"{self.key} {epoch % EPOCHS_IN_LAP}".encode(), digest_size=8).digest()
+        epoch, age = divmod(self.clock.agreed_time(now) + self.epoch_offset_ns, COUNT_TTL_NS)
+        digest = hashlib.blake2b(f"{self.key} {epoch % EPOCHS_PER_LAP}".encode(), digest_size=8).digest()
         return int.from_bytes(digest, "big") >> 1, now - age  # the counter's names have 63 bits
 
     def undo_duplicate_repair(self, call: CounterCall, deficit: float) -> float:
@@ -318,7 +318,7 @@
         """``agreed``: this gateway has evidence that the others name the count by the same time."""
         self.customer = customer
         self.clock_agreed = agreed
-        self.clock_steps = customer.clock.steps
+        self.clock_steps = customer.clock.clock_steps
         self.count_began_ns = count_began_ns
         self.reported = customer.unreported
         self.repair, self.deficit_before_repair = repair, customer.deficit_before_repair
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -209,7 +209,7 @@
 
     def handle_counted(self, answer: interface.Counted) -> None:
         """Decide the requests that were held for this reading."""
-        if self.quotas.clock.owns(answer.name):
+        if self.quotas.clock.awaits(answer.name):
             self.quotas.handle_clock_answer(answer, self.now)
             self._plan_clock_sync()
             self._release_held_calls()
@@ -253,11 +253,11 @@
     def _call_counter(self, customer: Customer) -> None:
         """A call for this customer; none leaves while its count is known to be no one else's."""
         clock = self.quotas.clock
-        if clock.holds_counts(self.now):
+        if clock.defers_customer_calls(self.now):
             self.held_calls[customer.key] = customer
             return
         for action in self.quotas.start_call(customer, self.now):
-            if clock.suspends_counts(self.now):
+            if clock.suspends_customer_calls(self.now):
                 self._answer_unsent(action.name)
             else:
                 self.actions.append(action)
@@ -272,24 +272,24 @@
         clock = self.quotas.clock
         if plan.rate > 0 and self.settings.has_counter and clock.start(self.now):
             self._plan_clock_sync()
-            self.schedule(clock.starts_until, self._release_held_calls)
+            self.schedule(clock.start_deadline_ns, self._release_held_calls)
 
     def _release_held_calls(self) -> None:
         """Make the calls that have waited for the first attempt at agreement."""
-        if self.held_calls and not self.quotas.clock.holds_counts(self.now):
+        if self.held_calls and not self.quotas.clock.defers_customer_calls(self.now):
             held, self.held_calls = self.held_calls, {}
             for customer in held.values():
                 self._call_counter(customer)
 
     def _plan_clock_sync(self) -> None:
         """Put the clock's next call on the agenda."""
-        at = self.quotas.clock.due_at
+        at = self.quotas.clock.due_at_ns
         if at is not None:
             self.schedule(at, self._sync_clock)
 
     def _sync_clock(self) -> None:
         """Make the clock's call that is due."""
-        action = self.quotas.clock.call(self.now)
+        action = self.quotas.clock.take_due_call(self.now)
         if action is not None:
             self.actions.append(action)
         else:
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -70,7 +70,9 @@
         if not self.settings.has_counter:
             return False
         inflight.uncertainty = doubt = self.assess(inflight, headroom)
-        return not self.clock.suspends_counts(now) and self.speculation.should_read(doubt, self.read_fraction)
+        return not self.clock.suspends_customer_calls(now) and self.speculation.should_read(
+            doubt, self.read_fraction
+        )
 
     def assess(self, inflight: InFlightRequest[Customer], headroom: Headroom) -> UncertainRequest:
         """What is known of a request that the slice, or the part of a ceiling, does not cover."""
@@ -84,7 +86,7 @@
     def admits_without_reading(self, inflight: InFlightRequest[Customer], now: int) -> bool:
         """Whether to let in a doubtful request unasked; by the even split while the counter is away."""
         customer, units, doubt = inflight.customer, inflight.request.units, inflight.uncertainty
-        silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_counts(now)
+        silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_customer_calls(now)
         if doubt is None or silent:
             return customer.covers_without_reading(units)
         return (doubt.is_worthwhile and customer.share_covers(units)) or self.speculation.admits(doubt)
@@ -161,7 +163,7 @@
         if call is None:
             return None
         customer = call.customer
-        if call.clock_steps != self.clock.steps:
+        if call.clock_steps != self.clock.clock_steps:
             # Added to a count that the others do not read: it is owed to theirs.
             answer = replace(answer, status=interface.Status.UNUSED)
         call.clock_agreed = call.clock_agreed and self.clock.agrees(now)
@@ -191,9 +193,9 @@
 
     def handle_clock_answer(self, answer: interface.Counted, now: int) -> None:
         """Take in the answer to a call of the clock; readings under a time that it gives up are forgotten."""
-        steps = self.clock.steps
-        self.clock.answered(answer, now)
-        if self.clock.steps != steps:
+        steps = self.clock.clock_steps
+        self.clock.handle_answer(answer, now)
+        if self.clock.clock_steps != steps:
             for customer in self.customers.values():
                 customer.refill_allowances(now)
                 customer.discard_readings(now)
