--- a/tests/test_clock_sync.py
+++ b/tests/test_clock_sync.py
@@ -43,7 +43,7 @@
 
     def time(self, now: int) -> int:
         """The time by which it names counts, within a lap."""
-        return self.sync.time(now + self.ahead) % LAP_NS
+        return self.sync.agreed_time(now + self.ahead) % LAP_NS
 
 
 @dataclass
@@ -72,21 +72,21 @@
         return total + call.amount
 
     def due_at(self, node: Node) -> int:
-        assert node.sync.due_at is not None
-        return max(self.now, node.sync.due_at - node.ahead)
+        assert node.sync.due_at_ns is not None
+        return max(self.now, node.sync.due_at_ns - node.ahead)
 
     def step(
         self, node: Node, status: interface.Status = interface.Status.DELIVERED
     ) -> interface.Count | None:
         """Make a node's next call when it is due, with this outcome."""
         self.now = self.due_at(node)
-        call = node.sync.call(self.now + node.ahead)
+        call = node.sync.take_due_call(self.now + node.ahead)
         if call is None:
             return None
         self.calls += 1
         level = 0.0 if status.never_ran else self.bump(call)
         self.now += WAY
-        node.sync.answered(interface.Counted(call.name, status, level, WAY), self.now + node.ahead)
+        node.sync.handle_answer(interface.Counted(call.name, status, level, WAY), self.now + node.ahead)
         return call
 
     def run(self, seconds: float) -> None:
@@ -138,8 +138,8 @@
     sync = ClockSync(1, random.Random(1))
     assert not sync.start(0)
     assert sync.agrees(0)
-    assert not sync.suspends_counts(0)
-    assert sync.call(SECOND) is None
+    assert not sync.suspends_customer_calls(0)
+    assert sync.take_due_call(SECOND) is None
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -147,7 +147,7 @@
     bench = Bench()
     first, stepped = bench.add(), bench.add(step)
     until_it_agrees(bench, first)
-    while first.sync.due_at is not None and not stepped.agrees(bench.now):
+    while first.sync.due_at_ns is not None and not stepped.agrees(bench.now):
         bench.run(0.1)
         bench.assert_nobody_agrees_on_another_time()
         assert bench.now < LAP_NS + 10 * SECOND
@@ -193,10 +193,10 @@
     )
     bench.step(newcomer)
     assert not newcomer.agrees(bench.now)
-    assert newcomer.sync.suspends_counts(bench.now)
+    assert newcomer.sync.suspends_customer_calls(bench.now)
     bench.run(5)
     bench.assert_agreement()
-    assert newcomer.sync.steps == 0
+    assert newcomer.sync.clock_steps == 0
 
 
 def test_a_restart_between_two_beacons_does_not_set_the_time_again() -> None:
@@ -294,7 +294,7 @@
     for _ in range(100):
         bench.run(0.1)
         bench.assert_agreement()
-    assert all(node.sync.steps == 0 for node in bench.nodes)
+    assert all(node.sync.clock_steps == 0 for node in bench.nodes)
 
 
 @pytest.mark.parametrize("level", [1.0, -5.0, 1e9])
@@ -302,9 +302,11 @@
     bench = Bench()
     node = bench.add()
     bench.now = bench.due_at(node)
-    call = node.sync.call(bench.now)
+    call = node.sync.take_due_call(bench.now)
     assert call is not None
-    node.sync.answered(interface.Counted(call.name, interface.Status.DELIVERED, level, WAY), bench.now + WAY)
+    node.sync.handle_answer(
+        interface.Counted(call.name, interface.Status.DELIVERED, level, WAY), bench.now + WAY
+    )
     assert not node.agrees(bench.now)
     until_it_agrees(bench, node)
 
