--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -1,4 +1,8 @@
-"""Attempts over loopback sockets: how each ending is told, what may follow it, and the idle connections."""
+"""Tests of attempts on servers, over loopback sockets.
+
+They check which status each way to end gives an attempt, what may follow on the same connection, and which
+idle connections are reused or closed.
+"""
 
 from __future__ import annotations
 
@@ -35,120 +39,128 @@
     until,
 )
 
-Ended = list[tuple[interface.Status, Answer | None]]
+Results = list[tuple[interface.Status, Answer | None]]
 
 
-def backends(*servers: Address, idle_ns: int = 15_000_000_000, budget: int = 100) -> Backends:
+def make_backends(
+    *servers: Address, idle_timeout_ns: int = 15_000_000_000, max_connections: int = 100
+) -> Backends:
     settings = config_from(raw_config()).settings
-    made = Backends(asyncio.get_running_loop(), settings, idle_ns, budget)
-    made.update_servers(told(*(entry(f"s{number}", address) for number, address in enumerate(servers))))
-    return made
+    pool = Backends(asyncio.get_running_loop(), settings, idle_timeout_ns, max_connections)
+    pool.update_servers(
+        server_change(*(entry(f"s{number}", address) for number, address in enumerate(servers)))
+    )
+    return pool
 
 
-def told(*entries: dict[str, object], snapshot: bool = True) -> Change:
+def server_change(*entries: dict[str, object], snapshot: bool = True) -> Change:
     return change_from(listing(*entries, snapshot=snapshot))
 
 
-def attempt(ended: Ended, server: str = "s0", seconds: float = 5.0, request: bytes | None = None) -> Attempt:
+def make_attempt(
+    results: Results, server: str = "s0", seconds: float = 5.0, request: bytes | None = None
+) -> Attempt:
     sent = ask() if request is None else request
     return Attempt(
         server,
         seconds,
         lambda left: sent,
         lambda: True,
-        lambda a, status, answer: ended.append((status, answer)),
+        lambda a, status, answer: results.append((status, answer)),
     )
 
 
-async def ending(made: Backends, **changes: object) -> interface.Status:
-    ended: Ended = []
-    made.start(attempt(ended, **changes))  # type: ignore[arg-type]
-    await until(lambda: bool(ended))
-    return ended[0][0]
+async def run_attempt(pool: Backends, **changes: object) -> interface.Status:
+    results: Results = []
+    pool.start(make_attempt(results, **changes))  # type: ignore[arg-type]
+    await until(lambda: bool(results))
+    return results[0][0]
 
 
 ENDINGS: dict[str, tuple[bytes, interface.Status]] = {
-    "served": (OK, interface.Status.DELIVERED),
-    "after an interim answer": (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, interface.Status.DELIVERED),
-    "an error": (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", interface.Status.ERROR),
-    "turned away": (NOT_RUN, interface.Status.SHED),
-    "turned away, with blanks behind the mark": (NOT_RUN.replace(b": 1", b":\t 1 \t"), interface.Status.SHED),
-    "too late": (NOT_RUN.replace(b"503", b"504"), interface.Status.SHED),
+    "a 200": (OK, interface.Status.DELIVERED),
+    "a 200 after an interim answer": (b"HTTP/1.1 100 Continue\r\n\r\n" + OK, interface.Status.DELIVERED),
+    "a 500": (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", interface.Status.ERROR),
+    "a 503 with the mark": (NOT_RUN, interface.Status.SHED),
+    "a 503 with the mark and trailing blanks": (NOT_RUN.replace(b": 1", b":\t 1 \t"), interface.Status.SHED),
+    "a 504 with the mark": (NOT_RUN.replace(b"503", b"504"), interface.Status.SHED),
     "a 503 without the mark": (MAY_HAVE_RUN, interface.Status.ERROR),
-    "a 503 with another mark": (NOT_RUN.replace(b": 1", b": 0"), interface.Status.ERROR),
+    "a 503 with the mark set to 0": (NOT_RUN.replace(b": 1", b": 0"), interface.Status.ERROR),
     "a 500 with the mark": (NOT_RUN.replace(b"503", b"500"), interface.Status.ERROR),
     "a 404": (b"HTTP/1.1 404 What\r\nContent-Length: 0\r\n\r\n", interface.Status.ERROR),
-    "hung up": (b"", interface.Status.DROPPED),
-    "junk": (b"\x00\x01 nonsense\r\n\r\n", interface.Status.ERROR),
-    "too long": (
+    "a close without an answer": (b"", interface.Status.DROPPED),
+    "not HTTP": (b"\x00\x01 nonsense\r\n\r\n", interface.Status.ERROR),
+    "a body over the limit": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"a" * 100_000,
         interface.Status.ERROR,
     ),
-    "a body that is said to be huge": (
+    "a huge Content-Length": (
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
         interface.Status.ERROR,
     ),
-    "two lengths": (OK.replace(b"\r\n", b"\r\nContent-Length: 3\r\n", 1), interface.Status.ERROR),
+    "two Content-Lengths": (OK.replace(b"\r\n", b"\r\nContent-Length: 3\r\n", 1), interface.Status.ERROR),
     "another protocol": (OK.replace(b"HTTP/1.1", b"RTSP/1.0"), interface.Status.ERROR),
-    "interim answers without end": (b"HTTP/1.1 102 Wait\r\n\r\n" * 40 + OK, interface.Status.ERROR),
-    "a head that stops": (OK[:20], interface.Status.ERROR),
-    "a body that stops": (OK[:-3], interface.Status.ERROR),
-    "an endless head": (b"HTTP/1.1 200 OK\r\nX-A: " + b"a" * 100_000, interface.Status.ERROR),
+    "too many interim answers": (b"HTTP/1.1 102 Wait\r\n\r\n" * 40 + OK, interface.Status.ERROR),
+    "an incomplete head": (OK[:20], interface.Status.ERROR),
+    "an incomplete body": (OK[:-3], interface.Status.ERROR),
+    "a head over the limit": (b"HTTP/1.1 200 OK\r\nX-A: " + b"a" * 100_000, interface.Status.ERROR),
 }
 
 
-@pytest.mark.parametrize("what", ENDINGS)
-def test_each_ending_is_told_as_what_it_proves(what: str) -> None:
+@pytest.mark.parametrize("name", ENDINGS)
+def test_each_ending_gives_the_status_that_it_proves(name: str) -> None:
     async def scenario() -> None:
-        answer, status = ENDINGS[what]
+        answer, status = ENDINGS[name]
         server = await answering(answer)
-        assert await ending(backends(server.address)) is status
-        assert len(server.requests) == 1  # nothing is resent below the module
+        assert await run_attempt(make_backends(server.address)) is status
+        assert len(server.requests) == 1  # only the policy decides on another attempt
 
     run(scenario())
 
 
-BARE = b"HTTP/1.1 200 OK\r\n\r\n" + BODY
+UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\n" + BODY
 
 
 @pytest.mark.parametrize("resets", [False, True])
 @pytest.mark.parametrize(
     ("answer", "whole"),
     [
-        (BARE, True),
-        (b"HTTP/1.1 103 Hints\r\nContent-Length: 0\r\n\r\n" + BARE, True),
+        (UNFRAMED, True),
+        (b"HTTP/1.1 103 Hints\r\nContent-Length: 0\r\n\r\n" + UNFRAMED, True),
         (
-            BARE.replace(b"OK\r\n", b"OK\r\nTransfer-Encoding: chunked\r\n").replace(BODY, b"3\r\nabc\r\n"),
+            UNFRAMED.replace(b"OK\r\n", b"OK\r\nTransfer-Encoding: chunked\r\n").replace(
+                BODY, b"3\r\nabc\r\n"
+            ),
             False,
         ),
         (OK[:-3], False),
-        (BARE[:-16], False),
+        (UNFRAMED[:-16], False),
     ],
-    ids=["no length", "behind an interim answer", "chunks cut", "a body cut", "a head cut"],
+    ids=["no length", "no length, after an interim answer", "cut chunks", "a cut body", "a cut head"],
 )
-def test_an_answer_without_a_length_ends_with_its_connection_but_not_by_a_reset(
+def test_an_answer_without_a_length_is_completed_by_a_close_but_not_by_a_reset(
     answer: bytes, whole: bool, resets: bool
 ) -> None:
-    # Such answers were taken for broken off: on one short day 95 requests were answered as failed for it.
+    # Such answers once counted as cut off; on one short trial day 95 requests failed for that reason.
     async def scenario() -> None:
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(answer)
             if resets:
-                await until(lambda: any(connection.received_bytes for connection in made._open))
+                await until(lambda: any(connection.received_bytes for connection in pool._open))
                 writer.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
                 )
                 writer.transport.abort()
 
         server = await Peer(script).start()
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
-        await until(lambda: bool(ended))
-        status, told = ended[0]
+        pool, results = make_backends(server.address), Results()
+        pool.start(make_attempt(results))
+        await until(lambda: bool(results))
+        status, got = results[0]
         assert status is (interface.Status.DELIVERED if whole and not resets else interface.Status.DROPPED)
-        assert (told.body if told else None) == (BODY if whole and not resets else None)
-        assert not made._open
+        assert (got.body if got else None) == (BODY if whole and not resets else None)
+        assert not pool._open
 
     run(scenario())
 
@@ -157,22 +169,22 @@
 
 
 @pytest.mark.parametrize("more", [SECOND, b"\x00\x01 noise", SECOND[:30], b"HTTP/1.1 500 Oh\r\n\r\n"])
-def test_what_comes_behind_a_whole_answer_neither_alters_nor_costs_it(more: bytes) -> None:
+def test_data_behind_a_complete_answer_does_not_change_or_invalidate_it(more: bytes) -> None:
     async def scenario() -> None:
         server = await answering(OK + more)
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
-        await until(lambda: bool(ended))
-        status, answer = ended[0]
+        pool, results = make_backends(server.address), Results()
+        pool.start(make_attempt(results))
+        await until(lambda: bool(results))
+        status, answer = results[0]
         assert answer is not None
         assert (status, answer.body, answer.billed) == (interface.Status.DELIVERED, BODY, None)
-        assert not made._open  # what is left over must not become the next request's answer
+        assert not pool._open  # the data must not be taken for the answer to the next request
 
     run(scenario())
 
 
-def test_a_connection_rests_a_little_before_its_next_request() -> None:
-    # A second copy right behind an answer may come in a read of its own.
+def test_a_connection_is_not_reused_immediately() -> None:
+    # A stray second answer right behind the first one may arrive in a read of its own.
     async def scenario() -> None:
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -183,56 +195,57 @@
             await reader.read()
 
         server = await Peer(script).start()
-        made, both = backends(server.address), Ended()
-
-        def ended(a: Attempt, status: interface.Status, answer: Answer | None) -> None:
-            both.append((status, answer))
-            if len(both) == 1:
-                made.start(attempt(both))
-
-        first = attempt(both)
-        first.on_end = ended
-        made.start(first)
-        await until(lambda: len(both) == 2)
-        assert [answer and answer.body for _, answer in both] == [BODY, BODY]
+        pool, results = make_backends(server.address), Results()
+
+        def start_second(a: Attempt, status: interface.Status, answer: Answer | None) -> None:
+            results.append((status, answer))
+            if len(results) == 1:
+                pool.start(make_attempt(results))
+
+        first = make_attempt(results)
+        first.on_end = start_second
+        pool.start(first)
+        await until(lambda: len(results) == 2)
+        assert [answer and answer.body for _, answer in results] == [BODY, BODY]
         assert server.connections == 2
 
     run(scenario())
 
 
-def test_a_second_answer_that_comes_milliseconds_late_is_not_the_next_requests(
+def test_a_stray_second_answer_milliseconds_later_is_not_the_answer_to_the_next_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # After 2 ms the connection was handed over, and the copy on its way was taken for the next answer.
+    # Connections were once reused after 2 ms, and a stray second answer on its way was taken for the answer
+    # to the next request.
     moment = clock.now()
     monkeypatch.setattr(clock, "now", lambda: moment)
 
     async def scenario() -> None:
         nonlocal moment
-        handed_over = asyncio.Event()
+        second_started = asyncio.Event()
 
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             peer.requests.append(await reader.readuntil(b"\r\n\r\n"))
             writer.write(OK)
             if peer.connections == 1:
-                await handed_over.wait()
+                await second_started.wait()
                 writer.write(SECOND)
             await reader.read()
 
         server = await Peer(script).start()
-        made, both = backends(server.address), Ended()
-        made.start(attempt(both))
-        await until(lambda: len(both) == 1)
+        pool, results = make_backends(server.address), Results()
+        pool.start(make_attempt(results))
+        await until(lambda: len(results) == 1)
         moment += 10 * clock.NS_PER_MS
-        made.start(attempt(both))
-        handed_over.set()
-        await until(lambda: len(both) == 2)
-        assert [answer and answer.body for _, answer in both] == [BODY, BODY]
+        pool.start(make_attempt(results))
+        second_started.set()
+        await until(lambda: len(results) == 2)
+        assert [answer and answer.body for _, answer in results] == [BODY, BODY]
 
     run(scenario())
 
 
-def test_what_comes_before_a_request_is_written_whole_is_not_its_answer() -> None:
+def test_data_that_comes_before_a_request_is_fully_written_is_not_its_answer() -> None:
     async def scenario() -> None:
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(10)
@@ -241,7 +254,8 @@
 
         server = await Peer(script).start()
         assert (
-            await ending(backends(server.address), request=b"a" * 8_000_000) is interface.Status.DIAL_FAILED
+            await run_attempt(make_backends(server.address), request=b"a" * 8_000_000)
+            is interface.Status.DIAL_FAILED
         )
 
     run(scenario())
@@ -250,36 +264,36 @@
 @pytest.mark.parametrize(
     "report", [b"[" * 900 + b"]" * 900, b'{"util":' * 100_000, b'{"util":true}', b'{"util":-1}']
 )
-def test_a_load_report_that_cannot_be_read_is_no_news(report: bytes) -> None:
+def test_a_malformed_load_report_is_ignored(report: bytes) -> None:
     async def scenario() -> None:
-        assert backends().parse_report(report) == ()
+        assert make_backends().parse_report(report) == ()
 
     run(scenario())
 
 
-def test_an_answer_that_breaks_off_is_no_answer() -> None:
+def test_an_answer_cut_off_by_a_close_ends_the_attempt_as_dropped() -> None:
     async def scenario() -> None:
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK[:-3])
 
         server = await Peer(script).start()
-        assert await ending(backends(server.address)) is interface.Status.DROPPED
+        assert await run_attempt(make_backends(server.address)) is interface.Status.DROPPED
 
     run(scenario())
 
 
-def test_nobody_there_and_nobody_listed_could_not_connect() -> None:
+def test_a_server_that_does_not_listen_or_is_not_listed_counts_as_not_connected() -> None:
     async def scenario() -> None:
-        made = backends(("127.0.0.1", closed_port()))
-        assert await ending(made) is interface.Status.DIAL_FAILED
-        assert await ending(made, server="unheard of") is interface.Status.DIAL_FAILED
+        pool = make_backends(("127.0.0.1", closed_port()))
+        assert await run_attempt(pool) is interface.Status.DIAL_FAILED
+        assert await run_attempt(pool, server="unlisted") is interface.Status.DIAL_FAILED
 
     run(scenario())
 
 
-def test_a_request_that_the_kernel_did_not_take_whole_never_ran() -> None:
-    # 8 MB do not fit into the buffers of the kernel, so the last byte is never handed over.
+def test_a_request_that_was_not_fully_written_never_ran() -> None:
+    # 8 MB do not fit into the kernel's buffers, so the last byte is never written.
     async def scenario() -> None:
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(10)
@@ -287,13 +301,14 @@
 
         server = await Peer(script).start()
         assert (
-            await ending(backends(server.address), request=b"a" * 8_000_000) is interface.Status.DIAL_FAILED
+            await run_attempt(make_backends(server.address), request=b"a" * 8_000_000)
+            is interface.Status.DIAL_FAILED
         )
 
     run(scenario())
 
 
-def test_a_time_out_drops_the_idle_connections_of_that_server() -> None:
+def test_a_timed_out_attempt_closes_the_idle_connections_to_its_server() -> None:
     async def scenario() -> None:
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -303,37 +318,37 @@
             await reader.read()
 
         server = await Peer(script).start()
-        made = backends(server.address)
-        one: Ended = []
-        two: Ended = []
-        made.start(attempt(one))
-        made.start(attempt(two, seconds=1.0))
+        pool = make_backends(server.address)
+        one: Results = []
+        two: Results = []
+        pool.start(make_attempt(one))
+        pool.start(make_attempt(two, seconds=1.0))
         await until(lambda: bool(one))
-        assert len(made._open) == 2
+        assert len(pool._open) == 2
         await until(lambda: bool(two))
         assert two[0][0] is interface.Status.EXPIRED
-        assert len(made._open) == 0
+        assert len(pool._open) == 0
 
     run(scenario())
 
 
-def test_a_close_that_has_come_unread_does_not_cost_an_attempt() -> None:
+def test_a_close_that_the_loop_has_not_read_yet_does_not_break_an_attempt() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
-        assert await ending(made) is interface.Status.DELIVERED
-        (connection,) = made._open
+        pool = make_backends(server.address)
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        (connection,) = pool._open
         assert connection.socket is not None
-        made.loop.remove_reader(connection.socket.fileno())  # the loop has not come to it yet
+        pool.loop.remove_reader(connection.socket.fileno())  # as if the loop had not read the close yet
         server.writers[0].close()
-        await until(lambda: _closed(connection.socket))
-        assert await ending(made) is interface.Status.DELIVERED
+        await until(lambda: _has_closed(connection.socket))
+        assert await run_attempt(pool) is interface.Status.DELIVERED
         assert server.connections == 2
 
     run(scenario())
 
 
-def _closed(sock: socket.socket | None) -> bool:
+def _has_closed(sock: socket.socket | None) -> bool:
     assert sock is not None
     try:
         return sock.recv(1, socket.MSG_PEEK) == b""
@@ -341,28 +356,28 @@
         return False
 
 
-def test_idle_connections_are_retired_well_before_the_servers_do() -> None:
+def test_idle_connections_are_closed_well_before_the_servers_close_them() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address, idle_ns=250_000_000)
-        assert await ending(made) is interface.Status.DELIVERED
-        assert len(made._open) == 1
-        await until(lambda: not made._open)
-        assert made._idle_timer is None  # nothing left to look for
+        pool = make_backends(server.address, idle_timeout_ns=250_000_000)
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        assert len(pool._open) == 1
+        await until(lambda: not pool._open)
+        assert pool._idle_timer is None  # no connection is left to check
 
     run(scenario())
 
 
-def test_connections_that_are_dropped_early_and_in_silence_are_not_kept_so_long() -> None:
-    # The server resets whatever comes on a connection that has rested; it says nothing before.
+def test_idle_connections_are_kept_for_less_long_if_servers_drop_them_silently() -> None:
+    # The server closes idle connections only when the next request comes on them, not before.
     async def scenario() -> None:
         server = await answering(OK, b"")
-        made = backends(server.address)
+        pool = make_backends(server.address)
         statuses = []
         for _ in range(30):
             server.script = (await answering(OK, b"")).script
-            statuses.append(await ending(made))
-            for connection in made._open:
+            statuses.append(await run_attempt(pool))
+            for connection in pool._open:
                 connection.idle_since_ns -= 200_000_000
         assert statuses.count(interface.Status.DROPPED) < 8
         assert statuses[-10:] == [interface.Status.DELIVERED] * 10
@@ -371,30 +386,30 @@
 
 
 @pytest.mark.parametrize("status", ["Gone", "Ready"])
-def test_idle_connections_to_a_process_that_ended_are_dropped(status: str) -> None:
+def test_idle_connections_to_a_process_that_has_ended_are_closed(status: str) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
-        assert await ending(made) is interface.Status.DELIVERED
-        made.update_servers(told(entry("s0", server.address, status, since_ms=7), snapshot=False))
-        assert not made._open
+        pool = make_backends(server.address)
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        pool.update_servers(server_change(entry("s0", server.address, status, since_ms=7), snapshot=False))
+        assert not pool._open
 
     run(scenario())
 
 
-@pytest.mark.parametrize("change", ["Terminating", "Gone", "restarted", "left out"])
-def test_an_attempt_still_connecting_is_not_written_to_a_server_that_drains(change: str) -> None:
+@pytest.mark.parametrize("change", ["Terminating", "Gone", "restarted", "unlisted"])
+def test_a_connecting_attempt_is_not_sent_to_a_server_that_drains_or_goes_meanwhile(change: str) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
+        pool, results = make_backends(server.address), Results()
+        pool.start(make_attempt(results))
         now = {
-            "restarted": told(entry("s0", server.address, since_ms=7), snapshot=False),
-            "left out": told(),
-        }.get(change) or told(entry("s0", server.address, change), snapshot=False)
-        made.update_servers(now)
-        await until(lambda: bool(ended))
-        assert ended[0][0] is interface.Status.DIAL_FAILED
+            "restarted": server_change(entry("s0", server.address, since_ms=7), snapshot=False),
+            "unlisted": server_change(),
+        }.get(change) or server_change(entry("s0", server.address, change), snapshot=False)
+        pool.update_servers(now)
+        await until(lambda: bool(results))
+        assert results[0][0] is interface.Status.DIAL_FAILED
         await until(lambda: server.connections == 1)
         await asyncio.sleep(0)
         assert server.requests == []
@@ -402,47 +417,47 @@
     run(scenario())
 
 
-def test_an_attempt_of_a_request_that_has_ended_is_not_written() -> None:
+def test_an_attempt_that_may_not_start_is_not_sent() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made, ended = backends(server.address), Ended()
-        unwanted = attempt(ended)
+        pool, results = make_backends(server.address), Results()
+        unwanted = make_attempt(results)
         unwanted.may_start = lambda: False
-        made.start(unwanted)
-        await until(lambda: bool(ended))
-        assert ended[0][0] is interface.Status.UNUSED
+        pool.start(unwanted)
+        await until(lambda: bool(results))
+        assert results[0][0] is interface.Status.UNUSED
         assert server.requests == []
 
     run(scenario())
 
 
-def test_a_full_budget_closes_the_oldest_idle_connection_or_sends_nothing() -> None:
+def test_at_the_connection_limit_the_oldest_idle_connection_is_closed_or_nothing_is_sent() -> None:
     async def scenario() -> None:
         one, two = await answering(OK), await silent()
-        made, ended = backends(one.address, two.address, budget=1), Ended()
-        assert await ending(made) is interface.Status.DELIVERED
-        made.start(attempt(ended, "s1"))
+        pool, results = make_backends(one.address, two.address, max_connections=1), Results()
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        pool.start(make_attempt(results, "s1"))
         await until(lambda: len(two.requests) == 1)
-        assert len(made._open) == 1
-        assert await ending(made) is interface.Status.UNUSED  # no server's fault
+        assert len(pool._open) == 1
+        assert await run_attempt(pool) is interface.Status.UNUSED  # does not count against the server
 
     run(scenario())
 
 
-def test_running_out_of_descriptors_sends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_free_descriptors_nothing_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
+        pool = make_backends(server.address)
 
         def none_left(*arguments: object) -> socket.socket:
             raise OSError(24, "Too many open files")
 
         with monkeypatch.context() as patch:
             patch.setattr("gingerworks.gateway.dial.socket.socket", none_left)
-            ended = Ended()
-            made.start(attempt(ended))
-        assert ended[0][0] is interface.Status.UNUSED  # no server's fault
-        assert await ending(made) is interface.Status.DELIVERED
+            results = Results()
+            pool.start(make_attempt(results))
+        assert results[0][0] is interface.Status.UNUSED  # does not count against the server
+        assert await run_attempt(pool) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -460,14 +475,16 @@
         (b"much", None),
     ],
 )
-def test_true_units_and_load_are_read_and_junk_is_no_news(settled: bytes, units: float | None) -> None:
+def test_units_and_load_reports_are_parsed_and_malformed_values_ignored(
+    settled: bytes, units: float | None
+) -> None:
     async def scenario() -> None:
         extra = b'X-Settled: %b\r\nX-Backend-Load: {"util":0.5,"queue":3,"latency_ms":"x"}\r\n\r\n' % settled
         server = await answering(OK.replace(b"\r\n\r\n", b"\r\n" + extra))
-        ended = Ended()
-        backends(server.address).start(attempt(ended))
-        await until(lambda: bool(ended))
-        answer = ended[0][1]
+        results = Results()
+        make_backends(server.address).start(make_attempt(results))
+        await until(lambda: bool(results))
+        answer = results[0][1]
         assert answer is not None
         assert (answer.body, answer.billed, answer.report) == (BODY, units, (("util", 0.5),))
 
@@ -475,13 +492,13 @@
 
 
 @pytest.mark.parametrize("first", [b"", MAY_HAVE_RUN, b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"])
-def test_an_unsafe_request_that_may_have_run_fails_and_is_sent_once(first: bytes) -> None:
+def test_an_unsafe_request_that_may_have_run_is_sent_only_once_and_fails(first: bytes) -> None:
     async def scenario() -> None:
         one, two = await answering(first), await answering(first)
         client = await Client.to(gateway(one.address, two.address))
         assert (await client.send(ask("post", body=b"x")))[0] == 502
         assert len(one.requests + two.requests) == 1
-        assert (await client.send(ask()))[0] in (429, 503)  # safe to repeat: tried elsewhere, then refused
+        assert (await client.send(ask()))[0] in (429, 503)  # safe to repeat: retried, then refused
         assert len(one.requests + two.requests) > 2
 
     run(scenario())
@@ -497,44 +514,44 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("change", ["a new address", "a new id"])
-def test_an_idle_connection_is_not_used_for_whoever_takes_over_its_address_or_id(change: str) -> None:
+@pytest.mark.parametrize("change", ["new address", "new name"])
+def test_an_idle_connection_is_not_reused_after_a_change_of_the_servers_address_or_name(change: str) -> None:
     async def scenario() -> None:
         old, new = await answering(OK), await answering(OK)
-        made = backends(old.address)
-        assert await ending(made) is interface.Status.DELIVERED
-        assert len(made._open) == 1
-        if change == "a new address":
-            made.update_servers(told(entry("s0", new.address), snapshot=False))
-            assert await ending(made) is interface.Status.DELIVERED
+        pool = make_backends(old.address)
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        assert len(pool._open) == 1
+        if change == "new address":
+            pool.update_servers(server_change(entry("s0", new.address), snapshot=False))
+            assert await run_attempt(pool) is interface.Status.DELIVERED
             assert (len(old.requests), len(new.requests)) == (1, 1)
         else:
-            made.update_servers(told(entry("s9", old.address)))
-            assert not made._open  # what led to the former process leads nowhere now
-            ended = Ended()
-            fresh = attempt(ended)
+            pool.update_servers(server_change(entry("s9", old.address)))
+            assert not pool._open  # connections to the former process are of no use
+            results = Results()
+            fresh = make_attempt(results)
             fresh.server = "s9"
-            made.start(fresh)
-            await until(lambda: bool(ended))
-            assert ended[0][0] is interface.Status.DELIVERED
+            pool.start(fresh)
+            await until(lambda: bool(results))
+            assert results[0][0] is interface.Status.DELIVERED
             assert old.connections == 2
 
     run(scenario())
 
 
-def test_a_connection_that_comes_up_after_its_attempt_was_given_up_is_closed(
+def test_a_connection_established_after_its_attempt_was_cancelled_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held: list[Dial] = []
 
-    class Held(Dial):
-        """A connection that is up, of which nobody has been told yet."""
+    class DelayedDial(Dial):
+        """An established connection that has not been reported yet."""
 
         def _on_writable(self) -> None:
             self._loop.remove_writer(self._socket.fileno())
             held.append(self)
 
-    monkeypatch.setattr(backend_module, "Dial", Held)
+    monkeypatch.setattr(backend_module, "Dial", DelayedDial)
 
     async def scenario() -> None:
         ends = asyncio.Event()
@@ -544,45 +561,46 @@
             ends.set()
 
         server = await Peer(script).start()
-        made, ended = backends(server.address), Ended()
-        given_up = attempt(ended)
-        made.start(given_up)
+        pool, results = make_backends(server.address), Results()
+        cancelled = make_attempt(results)
+        pool.start(cancelled)
         await until(lambda: bool(held))
-        made.cancel(given_up)
+        pool.cancel(cancelled)
         await ends.wait()
-        assert [status for status, _ in ended] == [interface.Status.CANCELLED]
+        assert [status for status, _ in results] == [interface.Status.CANCELLED]
         assert server.requests == [b""]
-        assert not made._open
+        assert not pool._open
 
     run(scenario())
 
 
-def test_a_connection_that_a_busy_loop_sees_too_late_carries_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A keyed request is tried again only where it comes within its window even if it has to connect: one
-    # whose connection was seen up later than a dial may take was sent all the same.
+def test_a_connection_that_a_busy_loop_notices_too_late_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A keyed request is retried only if it reaches the server within the deduplication window even after the
+    # longest allowed connect time.  A connection that the loop noticed later than that was once used all the
+    # same.
     held: list[Callable[[], None]] = []
 
-    class Held(Dial):
-        """A connection that is up; the loop is busy and runs neither this nor the timer meanwhile."""
+    class DelayedDial(Dial):
+        """An established connection; the busy loop runs neither its callback nor its timer for now."""
 
         def _on_writable(self) -> None:
             self._stop()
             held.append(super()._on_writable)
 
-    monkeypatch.setattr(backend_module, "Dial", Held)
+    monkeypatch.setattr(backend_module, "Dial", DelayedDial)
 
     async def scenario() -> None:
         server = await silent()
-        made, ended = backends(server.address), Ended()
-        made.connect_timeout_s = 0.25
+        pool, results = make_backends(server.address), Results()
+        pool.connect_timeout_s = 0.25
         started = clock.now()
-        made.start(attempt(ended))
+        pool.start(make_attempt(results))
         await until(lambda: bool(held))
         monkeypatch.setattr(clock, "now", lambda: started + 1_000_000_000)
         held.pop()()
-        assert [status for status, _ in ended] == [interface.Status.DIAL_FAILED]
+        assert [status for status, _ in results] == [interface.Status.DIAL_FAILED]
         await until(lambda: server.requests == [] or bool(server.requests[0]))
         assert server.requests == []
-        assert not made._open
+        assert not pool._open
 
     run(scenario())
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -41,7 +41,7 @@
     until,
 )
 from tests.support import MS, SECOND, policy_with_servers, request
-from tests.test_gateway_attempts import Ended, attempt, backends, ending
+from tests.test_gateway_attempts import Results, make_attempt, make_backends, run_attempt
 from tests.test_gateway_counter import call as counted
 from tests.test_gateway_counter import counter, echoing, scripted
 from tests.test_gateway_crowd import HEALTH
@@ -139,13 +139,13 @@
     # The error left the constructor with the socket open.
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = backends(server.address), injected(monkeypatch)
+        made, faults = make_backends(server.address), injected(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_writer", failing("add_writer"))
-            assert await ending(made) is interface.Status.UNUSED
+            assert await run_attempt(made) is interface.Status.UNUSED
         assert faults.all_closed()
         assert not made._open
-        assert await ending(made) is interface.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -156,13 +156,13 @@
     # The error escaped into the loop, and the attempt waited out its time on a connection nobody read.
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = backends(server.address), injected(monkeypatch)
+        made, faults = make_backends(server.address), injected(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
-            assert await ending(made) is interface.Status.UNUSED
+            assert await run_attempt(made) is interface.Status.UNUSED
         assert faults.all_closed()
         assert not made._open
-        assert await ending(made) is interface.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -180,10 +180,10 @@
 ) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = backends(server.address), injected(monkeypatch, Fault(call, code))
-        assert await ending(made) is interface.Status.DIAL_FAILED
+        made, faults = make_backends(server.address), injected(monkeypatch, Fault(call, code))
+        assert await run_attempt(made) is interface.Status.DIAL_FAILED
         assert faults.all_closed()
-        assert await ending(made) is interface.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -192,9 +192,9 @@
     # It was taken for a server that accepts no connection, and the connection that came up was closed.
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
+        made = make_backends(server.address)
         injected(monkeypatch, Fault(Call.CONNECT, errno.EINTR))
-        assert await ending(made) is interface.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
         assert server.connections == 1
 
     run(scenario())
@@ -218,14 +218,14 @@
     # It may be the only way left to its server; any failed dial, also a refused one, closed the oldest.
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
-        made = backends(one.address, two.address)
-        assert await ending(made) is interface.Status.DELIVERED
+        made = make_backends(one.address, two.address)
+        assert await run_attempt(made) is interface.Status.DELIVERED
         injected(monkeypatch, Fault(call, code))
-        ended: Ended = []
-        made.start(attempt(ended, "s1"))
+        ended: Results = []
+        made.start(make_attempt(ended, "s1"))
         assert ended
         assert bool(made._idle.get("s0")) is kept
-        assert await ending(made, server="s1") is interface.Status.DELIVERED
+        assert await run_attempt(made, server="s1") is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -234,9 +234,9 @@
     # As above, by the kernel's own refusal.
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address, ("127.0.0.1", closed_port()))
-        assert await ending(made) is interface.Status.DELIVERED
-        assert await ending(made, server="s1") is interface.Status.DIAL_FAILED
+        made = make_backends(server.address, ("127.0.0.1", closed_port()))
+        assert await run_attempt(made) is interface.Status.DELIVERED
+        assert await run_attempt(made, server="s1") is interface.Status.DIAL_FAILED
         assert made._idle["s0"]
 
     run(scenario())
@@ -363,13 +363,13 @@
     # A signal, or a moment without buffers, was taken for a server that accepts no connection.
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
+        made = make_backends(server.address)
         faults = injected(monkeypatch, Fault(Call.SEND, code, first=first), most_sent=16)
-        assert await ending(made) is status
+        assert await run_attempt(made) is status
         if status is not interface.Status.DELIVERED:
             assert faults.all_closed()
             assert not server.requests
-            assert await ending(made) is interface.Status.DELIVERED
+            assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -424,8 +424,8 @@
 
         server = await Peer(script).start()
         injected(monkeypatch, Fault(Call.RECV, code, first=first), most_received=16)
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
+        made, ended = make_backends(server.address), Results()
+        made.start(make_attempt(ended))
         await until(lambda: bool(ended))
         got = ended[0]
         assert got[0] is status
@@ -447,8 +447,8 @@
     async def scenario() -> None:
         server = await answering(OK)
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
+        made, ended = make_backends(server.address), Results()
+        made.start(make_attempt(ended))
         await until(lambda: faults.raised[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.raised[Call.RECV] == 1
