--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -305,7 +305,7 @@
     ) -> None:
         """Servers close idle connections after ``idle_timeout_ns`` at the latest."""
         self.loop = loop
-        self.connect_timeout_s = settings.limits.connect_ns / clock.NS_PER_S
+        self.connect_timeout_s = settings.limits.connect_timeout_ns / clock.NS_PER_S
         self._settings = settings
         self._max_idle_ns = int(IDLE_TIMEOUT_SHARE * idle_timeout_ns)
         self._max_connections = max_connections
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -209,12 +209,12 @@
 
     def handle_counted(self, answer: interface.Counted) -> None:
         """Decide the requests that were held for this reading."""
-        if self.quotas.clock.owns(answer.count):
+        if self.quotas.clock.owns(answer.name):
             self.quotas.handle_clock_answer(answer, self.now)
             self._plan_clock_sync()
             self._release_held_calls()
             return
-        call = self.quotas.calls.get(answer.count)
+        call = self.quotas.calls.get(answer.name)
         told = self.quotas.handle_answer(answer, self.now)
         if call is None or told is None:
             return
@@ -258,7 +258,7 @@
             return
         for action in self.quotas.start_call(customer, self.now):
             if clock.suspends_counts(self.now):
-                self._answer_unsent(action.count)
+                self._answer_unsent(action.name)
             else:
                 self.actions.append(action)
 
@@ -298,12 +298,12 @@
     def choose_backend(self, inflight: InFlightRequest[Customer]) -> Backend | None:
         """A server for the next attempt, if the rules leave one."""
         limits = self.settings.limits
-        if len(inflight.attempts) >= limits.attempts or (
+        if len(inflight.attempts) >= limits.max_attempts or (
             inflight.attempts_in_flight() and not limits.hedging
         ):
             return None
         # Guards against one chosen within the window that comes after it, as its connection came up late.
-        arrives_by_ns = self.now + limits.connect_ns
+        arrives_by_ns = self.now + limits.connect_timeout_ns
         allowed = (b for b in self.servers.backends.values() if inflight.allows_attempt_on(b, arrives_by_ns))
         tried = [attempt.backend.entry.name for attempt in inflight.attempts]
         return self.servers.choose(
@@ -342,7 +342,7 @@
             if backend is not None and backend is not last.backend:
                 self.retry_budget.adjust(-1.0)
                 self.start_attempt(inflight, backend)
-        elif limits.may_cancel and len(inflight.attempts) < limits.attempts:
+        elif limits.may_cancel and len(inflight.attempts) < limits.max_attempts:
             self.retry_budget.adjust(-1.0)
             self.actions.append(interface.CancelAttempt(inflight.request.id, len(inflight.attempts) - 1))
 
@@ -386,8 +386,8 @@
 
     def _settle_units(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
         """Charge the difference between the units billed and those first asked for."""
-        if outcome.billed is not None and inflight.customer.plan.rate > 0:
-            more = outcome.billed - inflight.request.units
+        if outcome.billed_units is not None and inflight.customer.plan.rate > 0:
+            more = outcome.billed_units - inflight.request.units
             inflight.customer.allowance.adjust(-more)
             inflight.customer.unreported += more
 
@@ -419,7 +419,7 @@
 
     def decline(self, inflight: InFlightRequest[Customer], after: int) -> None:
         """Refuse for good."""
-        most = self.settings.limits.max_retry_after_ns if self.settings.limits.retry_after else 0
+        most = self.settings.limits.max_retry_after_ns if self.settings.limits.may_send_retry_after else 0
         self.actions.append(interface.Decline(inflight.request.id, min(after or SOON_NS, most)))
         self.close(inflight)
 
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -157,7 +157,7 @@
         self, answer: interface.Counted, now: int
     ) -> tuple[Customer, list[tuple[InFlightRequest[Customer], bool]]] | None:
         """Take in an answer: whose it is, and for each request held for it whether it is let in."""
-        call = self.calls.pop(answer.count, None)
+        call = self.calls.pop(answer.name, None)
         if call is None:
             return None
         customer = call.customer
@@ -176,7 +176,7 @@
             )
         if customer.counter_answered:
             self.answered_at_ns = now
-            return customer, customer.apply_reading(call, answer.level, now)
+            return customer, customer.apply_reading(call, answer.total, now)
         if answer.status.never_ran:
             customer.unreported += call.reported
         verdicts = []
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -104,7 +104,7 @@
             status, head, _ = await client.send(ask("post"))  # may not run twice, so it must be known not to
             assert status == 503
             assert b"Retry-After" in head
-        assert faults.counts[call] <= 3 * made._config.settings.limits.attempts  # no spin
+        assert faults.counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         assert faults.all_closed()
         assert not one.requests + two.requests
@@ -337,7 +337,7 @@
         event = request(number, plan="small", customer=f"c{number}", units=4.0, entries=200)
         for action in policy.handle(number * MS, [event]):
             if isinstance(action, interface.Count):
-                policy.handle(number * MS, [interface.Counted(action.count, interface.Status.UNUSED, 0.0, 0)])
+                policy.handle(number * MS, [interface.Counted(action.name, interface.Status.UNUSED, 0.0, 0)])
     assert policy.quotas.read_fraction == before
 
 
@@ -386,7 +386,7 @@
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
-        assert faults.counts[Call.SEND] <= made._config.settings.limits.attempts  # no spin
+        assert faults.counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         faults.failing([])
         assert (await client.send(ask("post")))[0] == 200
@@ -788,7 +788,7 @@
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await until(lambda: len(told) == 20)
-        assert [(answer.status, answer.level) for answer in told] == [
+        assert [(answer.status, answer.total) for answer in told] == [
             (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
         assert peer.connections == 1
@@ -828,7 +828,7 @@
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await until(lambda: len(told) == 20)
-        assert [answer.level for answer in told] == [number + 0.5 for number in range(20)]
+        assert [answer.total for answer in told] == [number + 0.5 for number in range(20)]
         assert {answer.status for answer in told} == {interface.Status.DELIVERED}
         assert peer.connections == 1
 
@@ -912,7 +912,7 @@
         for number in (1, 2):
             made.call(counted(number))
         await until(lambda: len(told) == 2)
-        assert {answer.count: answer.status for answer in told} == {
+        assert {answer.name: answer.status for answer in told} == {
             1: interface.Status.EXPIRED,
             2: interface.Status.DIAL_FAILED,
         }
@@ -920,7 +920,7 @@
         faults.failing([])
         made.call(counted(3))
         await until(lambda: len(told) == 3)
-        assert (told[2].count, told[2].status) == (3, interface.Status.DELIVERED)
+        assert (told[2].name, told[2].status) == (3, interface.Status.DELIVERED)
         assert [line.split()[1] for line in peer.requests] == [b"1", b"3"]
 
     run(scenario())
