--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -326,7 +326,7 @@
         if inflight.may_have_run:
             inflight.client.send_failure()
         else:
-            max_retry_after_ns = limits.max_retry_after_ns if limits.retry_after else 0
+            max_retry_after_ns = limits.max_retry_after_ns if limits.may_send_retry_after else 0
             inflight.client.send_refusal(min(UNSENT_RETRY_AFTER_NS, max_retry_after_ns), False)
         self.cancel_request(request_id)
 
@@ -355,7 +355,9 @@
                 status=status,
                 elapsed_ns=clock.now() - attempt.started_at_ns,
                 terminal=not inflight.awaits_answer,
-                billed=answer.billed if answer is not None and status is interface.Status.DELIVERED else None,
+                billed_units=answer.billed
+                if answer is not None and status is interface.Status.DELIVERED
+                else None,
                 report=answer.report if answer is not None else (),
             )
         )
@@ -416,4 +418,4 @@
         if self.counter is not None and self._server_starts.clock_check.agrees:
             self.counter.call(action)
         else:
-            self._post(interface.Counted(action.count, interface.Status.DIAL_FAILED, 0.0, 0))
+            self._post(interface.Counted(action.name, interface.Status.DIAL_FAILED, 0.0, 0))
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -212,12 +212,12 @@
 
     def handle_counted(self, answer: interface.Counted) -> None:
         """Handle an answer of the shared counter: decide the requests that were held for it."""
-        if self.quotas.clock.owns(answer.count):
+        if self.quotas.clock.awaits(answer.name):
             self.quotas.handle_clock_answer(answer, self.now)
             self._schedule_clock_sync()
             self._release_held_calls()
             return
-        call = self.quotas.calls.get(answer.count)
+        call = self.quotas.calls.get(answer.name)
         result = self.quotas.handle_answer(answer, self.now)
         if call is None or result is None:
             return
@@ -228,7 +228,7 @@
         # Units booked for refused requests are taken back at once only while the counter keeps up: these
         # calls were a quarter of all that it got.
         is_urgent = customer.unreported < 0 and self.quotas.read_fraction >= KEEPS_UP_FRACTION
-        is_urgent = is_urgent or (customer.unreported > 0 and call.adds_later)
+        is_urgent = is_urgent or (customer.unreported > 0 and call.books_later)
         if customer.counter_answered:
             self.actions += self.quotas.start_repair(customer, self.now)
         if customer.waiting or (customer.counter_answered and is_urgent):
@@ -257,18 +257,18 @@
     def _call_counter(self, customer: Customer) -> None:
         """Call the counter for this customer, unless the clock synchronisation holds or suspends calls."""
         clock = self.quotas.clock
-        if clock.holds_counts(self.now):
+        if clock.defers_customer_calls(self.now):
             self.held_calls[customer.key] = customer
             return
         for action in self.quotas.start_call(customer, self.now):
-            if clock.suspends_counts(self.now):
-                self._schedule_unsent_answer(action.count)
+            if clock.suspends_customer_calls(self.now):
+                self._schedule_unsent_answer(action.name)
             else:
                 self.actions.append(action)
 
-    def _schedule_unsent_answer(self, count: int) -> None:
+    def _schedule_unsent_answer(self, name: int) -> None:
         self.schedule(
-            self.now, lambda: self.handle_counted(interface.Counted(count, interface.Status.UNUSED, 0.0, 0))
+            self.now, lambda: self.handle_counted(interface.Counted(name, interface.Status.UNUSED, 0.0, 0))
         )
 
     def _start_clock_sync(self, plan: interface.Plan) -> None:
@@ -276,24 +276,24 @@
         clock = self.quotas.clock
         if plan.rate > 0 and self.settings.has_counter and clock.start(self.now):
             self._schedule_clock_sync()
-            self.schedule(clock.starts_until, self._release_held_calls)
+            self.schedule(clock.start_deadline_ns, self._release_held_calls)
 
     def _release_held_calls(self) -> None:
         """Make the calls held during the first attempt at agreement on the time, once it has ended."""
-        if self.held_calls and not self.quotas.clock.holds_counts(self.now):
+        if self.held_calls and not self.quotas.clock.defers_customer_calls(self.now):
             held, self.held_calls = self.held_calls, {}
             for customer in held.values():
                 self._call_counter(customer)
 
     def _schedule_clock_sync(self) -> None:
         """Schedule the next call of the clock synchronisation."""
-        due_ns = self.quotas.clock.due_at
+        due_ns = self.quotas.clock.due_at_ns
         if due_ns is not None:
             self.schedule(due_ns, self._sync_clock)
 
     def _sync_clock(self) -> None:
         """Make the call of the clock synchronisation that is due."""
-        action = self.quotas.clock.call(self.now)
+        action = self.quotas.clock.take_due_call(self.now)
         if action is not None:
             self.actions.append(action)
         else:
@@ -302,12 +302,12 @@
     def choose_backend(self, inflight: InFlightRequest[Customer]) -> Backend | None:
         """The server for the next attempt of a request, if it may have one and a server is left."""
         limits = self.settings.limits
-        if len(inflight.attempts) >= limits.attempts or (
+        if len(inflight.attempts) >= limits.max_attempts or (
             inflight.attempts_in_flight() and not limits.hedging
         ):
             return None
         # An attempt that first has to connect could arrive after the window in which repeats are dropped.
-        arrives_by_ns = self.now + limits.connect_ns
+        arrives_by_ns = self.now + limits.connect_timeout_ns
         allowed = (b for b in self.servers.backends.values() if inflight.allows_attempt_on(b, arrives_by_ns))
         tried = [attempt.backend.entry.name for attempt in inflight.attempts]
         return self.servers.choose(
@@ -346,7 +346,7 @@
             if backend is not None and backend is not last.backend:
                 self.retry_budget.adjust(-1.0)
                 self.start_attempt(inflight, backend)
-        elif limits.may_cancel and len(inflight.attempts) < limits.attempts:
+        elif limits.may_cancel and len(inflight.attempts) < limits.max_attempts:
             self.retry_budget.adjust(-1.0)
             self.actions.append(interface.CancelAttempt(inflight.request.id, len(inflight.attempts) - 1))
 
@@ -390,8 +390,8 @@
 
     def _settle_units(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
         """Charge the difference between the units billed and those that the request stated."""
-        if outcome.billed is not None and inflight.customer.plan.rate > 0:
-            extra = outcome.billed - inflight.request.units
+        if outcome.billed_units is not None and inflight.customer.plan.rate > 0:
+            extra = outcome.billed_units - inflight.request.units
             inflight.customer.allowance.adjust(-extra)
             inflight.customer.unreported += extra
 
@@ -423,7 +423,7 @@
 
     def decline(self, inflight: InFlightRequest[Customer], wait_ns: int) -> None:
         """Refuse a request; ``wait_ns`` is when the client may try again, 0 if that is not known."""
-        max_ns = self.settings.limits.max_retry_after_ns if self.settings.limits.retry_after else 0
+        max_ns = self.settings.limits.max_retry_after_ns if self.settings.limits.may_send_retry_after else 0
         self.actions.append(interface.Decline(inflight.request.id, min(wait_ns or DEFAULT_WAIT_NS, max_ns)))
         self.close(inflight)
 
