--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Settings and a small driver for the tests; all figures here are made up."""
+"""Settings, events and a policy for the tests of the decisions; all figures here are made up."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     rules = interface.Rules(SECOND, 10 * SECOND, 0.2, 3.0, 3 * SECOND, 0)
     base = interface.Settings(
         me=0,
-        gateways=1,  # nobody to agree with on the time: all calls of the counter are about customers
+        gateways=1,  # with one gateway there is no clock synchronisation: all counter calls are for customers
         zone="a",
         tick_ns=2 * MS,
         discovery_on_request=False,
@@ -86,5 +86,5 @@
 
 
 def action_names(actions: list[interface.Action]) -> list[str]:
-    """Names of the actions, timers left out."""
+    """Type names of the actions, without timers."""
     return [type(a).__name__ for a in actions if not isinstance(a, interface.Wake)]
