--- a/gingerworks/policy/gap_counter.py
+++ b/gingerworks/policy/gap_counter.py
@@ -1,7 +1,8 @@
-"""Turner and Key's call gapping counter: a rate limiter with a bounded allowance.
+"""Turner and Key's call gapping counter: a rate limiter that works like a token bucket refilled in steps.
 
-Used for customers' quotas and ceilings, the slow start of servers and the retry budget.  Amounts are in the
-unit of what is limited: units of use, requests or attempts.
+It limits customers' use by quotas and ceilings, the slow start of servers, further attempts by the retry
+budget, and speculative admission.  Amounts are in the unit of what is limited, such as units of use, requests
+or attempts.
 """
 
 from __future__ import annotations
@@ -10,14 +11,15 @@
 
 from gingerworks.policy.constants import EPSILON
 
-INTERVALS_TO_FULL = 40  # the paper's recommended N, counted in increments m (its Table 1)
+INTERVALS_TO_FULL = 40  # the N that the paper recommends, counted in increments m (its Table 1)
 
 
 class GapCounter:
-    """The paper's COUNTER: ``m`` is added each interval, ``cap`` (its N) bounds it, equation (6).
+    """The COUNTER of the paper: ``m`` is added in each interval, up to ``cap``, which is its N; equation (6).
 
-    The interval T is m over the slice's rate, so its running part is kept as a fraction and survives a
-    change of the rate; a long gap refills exactly as many short ones do.
+    The paper's interval T is m divided by the rate of refill.  Here ``phase`` is the part of the running
+    interval that has passed, so it stays valid when the rate changes, and one long refill does exactly what
+    many short ones do.  ``level`` is the allowance left.
     """
 
     def __init__(self, cap: float, level: float, phase: float) -> None:
@@ -27,14 +29,14 @@
         self.phase = phase
 
     def refill(self, amount: float) -> None:
-        """Let pass the time in which the slice brings this amount."""
+        """Advance by the time in which the rate of refill brings this amount."""
         self.phase += amount / self.m
         intervals = math.floor(self.phase)
         self.phase -= intervals
         self.level = min(self.cap, self.level + intervals * self.m)
 
     def resize(self, cap: float) -> None:
-        """Change the cap; the level keeps its part of it."""
+        """Change the cap; the level stays the same fraction of it."""
         self.level *= cap / self.cap
         self.cap = cap
         self.m = cap / INTERVALS_TO_FULL
@@ -44,5 +46,5 @@
         return self.level >= units - EPSILON
 
     def adjust(self, amount: float) -> None:
-        """Take (below 0) or give back allowance."""
+        """Give back allowance, or take it if the amount is below 0."""
         self.level = min(self.cap, self.level + amount)
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -1,7 +1,10 @@
 """All customers of one gateway, and its calls to the counter that the gateways share.
 
-Decides whether a quota covers a request, when use is reported and how often the counter is asked about
-requests that the gateway's own slice does not cover.
+Decides whether a customer's quota covers a request, when its use is reported to the shared count, and which
+requests are held for a reading of it.  A request is uncertain if the gateway's share of the quota does not
+cover it, although it may still be within the quota.  While the counter answers in time, a reading is taken
+for each uncertain request.  While it is late, readings are taken for a fraction of them, and the others are
+admitted or refused by estimates, see ``speculative_admission``.
 """
 
 from __future__ import annotations
@@ -16,64 +19,77 @@
 from gingerworks.policy.in_flight import InFlightRequest
 from gingerworks.policy.speculative_admission import Headroom, SpeculativeAdmission, UncertainRequest
 
-MIN_READ_FRACTION = 0.1  # of doubtful requests: so many still ask a counter that does not answer
-MAX_CUSTOMERS = 20_000  # far more than ask within a few sweeps
-URGENT_REPORT_SHARE = (
-    0.25  # of the known headroom, or of the even share: use that is told at once, as others spend it too
-)
-MAX_UNREPORTED = 0.5  # of the burst: what was let in on guesses is told by a call of its own from so much on
-COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS  # without an answer: the counter is taken for gone
+MIN_READ_FRACTION = 0.1  # of uncertain requests that are read for even if the counter does not answer
+MAX_CUSTOMERS = 20_000  # known at a time: far more than send requests within a few sweeps
+# Of the allowance, or of the even share if that is more: more unreported use than this is reported at once,
+# as the other gateways admit requests from the same store.
+URGENT_REPORT_SHARE = 0.25
+MAX_UNREPORTED = 0.5  # of the burst: more use that was admitted by estimates is reported by a call of its own
+COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS  # without an answer: then the counter is taken to be out of service
 
 
 class Quotas:
-    """All customers' slices and the calls to the shared counter."""
+    """The customers of one gateway and its calls to the shared counter."""
 
     def __init__(
-        self, settings: interface.Settings, rng: random.Random, start: int, clock: ClockSync
+        self, settings: interface.Settings, rng: random.Random, started_ns: int, clock: ClockSync
     ) -> None:
         self.settings = settings
         self.clock = clock
         self.rng = rng
-        self.started_ns = start
+        self.started_ns = started_ns
         self.plans = {plan.name: plan for plan in settings.plans}
         self.customers: dict[tuple[str, str], Customer] = {}
-        self.calls: dict[int, CounterCall] = {}
+        self.calls: dict[int, CounterCall] = {}  # without an answer yet, by the name of the count
         self.speculation = SpeculativeAdmission(rng)
+        # The fraction of uncertain requests that readings are taken for, and that up to which the counter has
+        # kept up lately; see ``adapt_read_fraction``.
         self.read_fraction = self.sustained_fraction = 1.0
-        self.answered_at_ns = start
+        self.answered_at_ns = started_ns  # the last answer in time
 
     def customer(self, request: interface.Request, now: int) -> Customer:
-        """The customer of a request, with counters refilled; a wrong plan in its name is counted apart."""
+        """The customer of a request, with its allowances refilled.
+
+        A customer is told apart by its name and plan: requests that give a wrong plan in the name of a
+        customer leave that customer's quota alone.
+        """
         key = (request.customer, request.plan)
         if key not in self.customers and len(self.customers) >= MAX_CUSTOMERS:
-            del self.customers[next(iter(self.customers))]  # the one known for longest
+            del self.customers[next(iter(self.customers))]  # the one that has been known for longest
         customer = self.customers[key] = self.customers.get(key) or Customer(request, self, now)
         customer.refill_allowances(now)
         customer.last_request_at_ns = now
         return customer
 
     def check_quota(self, inflight: InFlightRequest[Customer], now: int) -> bool | None:
-        """Whether the allowance covers a request; none: that takes a reading of the shared count."""
+        """Whether the quota covers a request; ``None`` if a reading of the shared count is to decide."""
         customer, units = inflight.customer, inflight.request.units
-        gap, counter = customer.allowance, self.settings.has_counter
+        allowance, has_counter = customer.allowance, self.settings.has_counter
         busy = customer.record_demand(units, now)
-        if customer.plan.rate <= 0 or (gap.covers(units) and (units <= customer.even_burst or not counter)):
+        if customer.plan.rate <= 0 or (
+            allowance.covers(units) and (units <= customer.even_burst or not has_counter)
+        ):
             return True
-        if not counter or customer.certainly_exceeds(units, now):
+        if not has_counter or customer.certainly_exceeds(units, now):
             return False
         if self.should_read(inflight, customer.headroom(units, busy), now):
             return None
         return self.admits_without_reading(inflight, now)
 
     def should_read(self, inflight: InFlightRequest[Customer], headroom: Headroom, now: int) -> bool:
-        """Whether to take a reading for a doubtful request: the dearest first while the counter is late."""
+        """Whether to take a reading for an uncertain request.
+
+        While the counter is late, most are taken where deciding without a reading is expected to cost most.
+        """
         if not self.settings.has_counter:
             return False
-        inflight.uncertainty = doubt = self.assess(inflight, headroom)
-        return not self.clock.suspends_counts(now) and self.speculation.should_read(doubt, self.read_fraction)
+        inflight.uncertainty = uncertain = self.assess(inflight, headroom)
+        return not self.clock.suspends_counts(now) and self.speculation.should_read(
+            uncertain, self.read_fraction
+        )
 
     def assess(self, inflight: InFlightRequest[Customer], headroom: Headroom) -> UncertainRequest:
-        """What is known of a request that the slice, or the part of a ceiling, does not cover."""
+        """What is known of a request that the share, or this part of the ceiling, does not cover."""
         customer, is_retry = inflight.customer, inflight.request.is_retry
         plan = customer.plan
         chance = self.speculation.chance(plan.name, is_retry, headroom, customer.pass_rate)
@@ -82,38 +98,43 @@
         )
 
     def admits_without_reading(self, inflight: InFlightRequest[Customer], now: int) -> bool:
-        """Whether to let in a doubtful request unasked; by the even split while the counter is away."""
-        customer, units, doubt = inflight.customer, inflight.request.units, inflight.uncertainty
+        """Whether to admit an uncertain request: by estimates, or the even share if the counter is silent."""
+        customer, units, uncertain = inflight.customer, inflight.request.units, inflight.uncertainty
         silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_counts(now)
-        if doubt is None or silent:
+        if uncertain is None or silent:
             return customer.covers_without_reading(units)
-        return (doubt.is_worthwhile and customer.share_covers(units)) or self.speculation.admits(doubt)
+        return (uncertain.is_worthwhile and customer.share_covers(units)) or self.speculation.admits(
+            uncertain
+        )
 
     def worth(self, inflight: InFlightRequest[Customer]) -> float:
-        """What serving a request inside its quota is worth."""
+        """What serving a request within its quota is worth."""
         return inflight.request_class.worth * inflight.customer.plan.price * inflight.request.units
 
     def record_sent(self, inflight: InFlightRequest[Customer], now: int) -> None:
-        """Note that a request was sent on for the first time."""
+        """Record that a request was sent on for the first time."""
         inflight.customer.record_sent(inflight.request.units, now)
         self.speculation.record_sent(self.worth(inflight))
 
     def learn(self, inflight: InFlightRequest[Customer], passed: bool) -> None:
-        """Note whether a reading let a doubtful request pass."""
+        """Learn from whether a reading admitted an uncertain request."""
         if inflight.uncertainty is not None:
             self.speculation.learn(inflight.uncertainty, inflight.customer.pass_rate, passed)
 
     def is_report_urgent(self, customer: Customer) -> bool:
-        """Whether use not yet told has grown so large that others should hear of it now."""
+        """Whether there is so much unreported use that the other gateways should know of it now."""
         return customer.unreported > URGENT_REPORT_SHARE * max(customer.even_burst, customer.allowance.level)
 
     def record_unreported(self, customer: Customer, units: float) -> bool:
-        """Note use that no call has told; whether it is to be reported, and not just with a next call."""
+        """Record use that no call has reported; returns whether to plan a call that reports it."""
         customer.unreported += units
         return units <= customer.even_burst or customer.unreported > MAX_UNREPORTED * customer.allowance.cap
 
     def schedule_report(self, customer: Customer, now: int) -> int | None:
-        """When this customer's use is to be reported: its due time, or none while a call is planned."""
+        """When to report this customer's use, or ``None`` if that is planned already.
+
+        The period is longer while the counter is late, and has a random part.
+        """
         if not self.settings.has_counter or customer.plan.rate <= 0:
             return None
         planned, customer.report_scheduled = customer.report_scheduled, True
@@ -124,25 +145,26 @@
         return now + int(REPORT_PERIOD_NS / self.read_fraction * (0.75 + 0.5 * self.rng.random()))
 
     def start_call(self, customer: Customer, now: int, repair: float = 0.0) -> list[interface.Count]:
-        """A call for this customer, unless one is still out; ``repair`` puts a wrong count right."""
+        """A call for this customer, unless one is in flight; ``repair`` is added to correct the count."""
         customer.report_scheduled = False
-        # Guards against ever more calls for customers seen once, each turned away and made again: what was
-        # used so long ago that the store has refilled since is no news.
+        # Use so long ago that the store has refilled since need not be reported.  Otherwise a counter that
+        # refuses calls would be called again and again for ever more customers that were seen once.
         if (now - customer.last_request_at_ns) * customer.plan.rate > customer.allowance.cap * SECOND:
             customer.unreported = min(0.0, customer.unreported)
         if customer.pending_call is not None or not (customer.waiting or customer.unreported or repair):
             return []
-        name, began = customer.count_name(now)
+        name, began_ns = customer.count_name(now)
         call = customer.pending_call = self.calls[name] = CounterCall(
-            customer, began, repair, self.clock.agrees(now)
+            customer, began_ns, repair, self.clock.agrees(now)
         )
         customer.unreported, customer.waiting = 0.0, []
         return [interface.Count(name, call.amount, COUNT_TTL_NS)]
 
     def start_repair(self, customer: Customer, now: int) -> list[interface.Count]:
-        """Put right what the last reading found wrong, unless this gateway has just done so.
+        """Make the repair that the last reading found due, unless this gateway has made one just before.
 
-        Others may see the same fault and repair it too; all but the first undo theirs, see ``undo_repair``.
+        Other gateways may find the same fault and repair it too; all but the first take theirs back, see
+        ``Customer.undo_duplicate_repair``.
         """
         if (
             not customer.repair_due
@@ -156,21 +178,20 @@
     def handle_answer(
         self, answer: interface.Counted, now: int
     ) -> tuple[Customer, list[tuple[InFlightRequest[Customer], bool]]] | None:
-        """Take in an answer: whose it is, and for each request held for it whether it is let in."""
+        """Apply an answer; returns its customer, and whether the quota covers each request held for it."""
         call = self.calls.pop(answer.count, None)
         if call is None:
             return None
         customer = call.customer
         if call.clock_steps != self.clock.steps:
-            # Added to a count that the others do not read: it is owed to theirs.
+            # The call was added to a count that the others do not read, so it is still to be added to theirs.
             answer = replace(answer, status=interface.Status.UNUSED)
         call.clock_agreed = call.clock_agreed and self.clock.agrees(now)
         customer.refill_allowances(now)
         customer.pending_call = None
         customer.counter_answered = answer.status is interface.Status.DELIVERED
-        if (
-            answer.status is not interface.Status.UNUSED
-        ):  # that call never left: it tells nothing of the counter
+        # A call that was never sent says nothing of the counter.
+        if answer.status is not interface.Status.UNUSED:
             self.adapt_read_fraction(
                 not customer.counter_answered or 2 * answer.elapsed_ns > self.settings.counter_wait_ns
             )
@@ -179,18 +200,19 @@
             return customer, customer.apply_reading(call, answer.level, now)
         if answer.status.never_ran:
             customer.unreported += call.reported
-        verdicts = []
-        for inflight, amount in call.held:
+        decisions = []
+        for inflight, booked in call.held:
             units = inflight.request.units
             covered = customer.covers_without_reading(units) and customer.ceiling_part_covers(units)
-            added = 0.0 if answer.status.never_ran else amount
-            # Most likely added: a late counter works on what nobody waits for.
-            customer.unreported += (units if covered else 0.0) - added
-            verdicts.append((inflight, covered))
-        return customer, verdicts
+            booked_anyway = 0.0 if answer.status.never_ran else booked
+            # What the call booked has most likely been added: a late counter still carries out calls that
+            # nobody waits for any more.
+            customer.unreported += (units if covered else 0.0) - booked_anyway
+            decisions.append((inflight, covered))
+        return customer, decisions
 
     def handle_clock_answer(self, answer: interface.Counted, now: int) -> None:
-        """Take in the answer to a call of the clock; readings under a time that it gives up are forgotten."""
+        """Apply the answer to a call of the clock; if it changes the time, discard what was read before."""
         steps = self.clock.steps
         self.clock.answered(answer, now)
         if self.clock.steps != steps:
@@ -199,7 +221,12 @@
                 customer.discard_readings(now)
 
     def adapt_read_fraction(self, late: bool) -> None:
-        """Ask as often as is answered in time, by congestion control with a quick start after an outage."""
+        """Adapt the readings to what the counter answers in time, as TCP adapts its congestion window.
+
+        A late or missing answer cuts the fraction of requests that are read for.  After that it doubles with
+        each answer in time up to what the counter has sustained, so that an outage is soon made up for, and
+        grows slowly beyond.
+        """
         if late:
             if self.read_fraction >= self.sustained_fraction:
                 self.sustained_fraction = max(MIN_READ_FRACTION, 0.9 * self.sustained_fraction)
@@ -210,7 +237,7 @@
             self.read_fraction = self.sustained_fraction = min(1.0, self.read_fraction + 0.01)
 
     def sweep(self, now: int) -> None:
-        """Drop idle full counters, so that customers seen once do not fill the memory."""
+        """Forget idle customers with a full store, so that customers seen once do not fill the memory."""
         for key in list(self.customers):
             customer = self.customers[key]
             customer.refill_allowances(now)
--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -1,8 +1,13 @@
-"""Requests that a gateway's own slice does not cover: which to ask about, and which to let in unasked.
+"""Requests that a gateway's own share of a quota does not cover: which to read for, which to admit at once.
 
-A call of the shared counter is spent where a wrong decision would cost the most, and a guess only where its
-expected gain exceeds its expected cost.  What guesses may cost in the long run is held to a share of the
-worth let in.  Worth is that of the class, times the price of the plan, times the units of the request.
+A reading is a call to the shared counter that tells whether the quota still covers a request.  While the
+counter cannot take a call for each uncertain request, calls are spent where a wrong decision is expected to
+cost the most.  A request without a reading is admitted speculatively only if its expected gain exceeds the
+expected cost of an overrun, which is use beyond the quota.  The expected costs of such overruns are held to a
+small fraction of all worth that is sent on.
+
+The worth of a request is that of its class, times the price of its plan, times its units.  The chance that a
+reading admits a request is learned from earlier readings: of its customer, of its plan and of all customers.
 """
 
 from __future__ import annotations
@@ -14,32 +19,32 @@
 from gingerworks.policy.constants import EPSILON
 from gingerworks.policy.gap_counter import GapCounter
 
-CUSTOMER_MEMORY = 0.8  # of a customer's earlier readings, at each further one: about the last five count
-GATEWAY_MEMORY = 0.98  # of all readings of a kind: about the last fifty count
-PRIOR_READINGS = 2.0  # as many readings of a kind weigh as much as all that is known of a wider kind
-START_CHANCE = 0.75  # before any reading: stores start full
-BUSY_DEMAND = 0.25  # of the burst: recent demand above which a customer without a reading counts as busy
+CUSTOMER_MEMORY = 0.8  # kept of a customer's earlier readings at each new one: about the last five count
+GATEWAY_MEMORY = 0.98  # kept of a gateway's earlier readings of one kind: about the last fifty count
+PRIOR_READINGS = 2.0  # the estimate from the wider group of readings weighs as much as so many readings
+START_CHANCE = 0.75  # that a reading admits a request, before there has been any: stores start full
+BUSY_DEMAND = 0.25  # of the burst: recent demand from which a customer without a reading counts as busy
 SCANT_HEADROOM = 0.25  # of the burst
 AMPLE_HEADROOM = 0.6  # of the burst
-OVERRUN_BUDGET_SHARE = 0.02  # of the worth let in: what guesses are expected to cost by units beyond quotas
-OVERRUN_BUDGET_REQUESTS = 5.0  # mean requests' worth that the cost of guesses may run ahead
+OVERRUN_BUDGET_FRACTION = 0.02  # of all worth sent on: what speculative overruns may be expected to cost
+OVERRUN_BUDGET_REQUESTS = 5.0  # in mean worths of requests: how much of that budget can be saved up
 MIN_MEAN_GAIN = 0.02  # of running means: about the last fifty requests count
 
 
 class Headroom(Enum):
-    """What a gateway knows of the room for a request in its customer's store."""
+    """What a gateway knows of the units left for a request in its customer's quota."""
 
     UNREAD = "no reading has been taken"
-    UNREAD_BUSY = "no reading has been taken, though requests have come at some rate"
+    UNREAD_BUSY = "no reading has been taken, although the customer has sent many requests lately"
     NONE = "less than the request needs"
     SCANT = "hardly more than the request needs"
     SOME = "more than the request needs"
-    AMPLE = "most of the store is unused"
+    AMPLE = "most of the quota is unused"
     BEYOND_PART = "enough in the quota, but not in this gateway's part of the ceiling"
 
 
 def headroom_of(left: float) -> Headroom:
-    """The room where this part of the burst is left after the request."""
+    """The headroom if this fraction of the burst is left after the request."""
     if left < 0:
         return Headroom.NONE
     if left < SCANT_HEADROOM:
@@ -48,18 +53,18 @@
 
 
 class PassRate:
-    """How many of the readings of a kind let the request pass; older ones fade."""
+    """The fraction of readings that admitted the request; older ones count for less."""
 
     def __init__(self) -> None:
         self.readings = 0.0
         self.passed = 0.0
 
     def estimate(self, prior: float) -> float:
-        """The part that passed, where ``prior`` is what is known from elsewhere."""
+        """The fraction that passed; ``prior`` is the estimate from a wider group, for want of readings."""
         return (self.passed + PRIOR_READINGS * prior) / (self.readings + PRIOR_READINGS)
 
     def add(self, passed: bool, memory: float) -> None:
-        """Count one reading; ``memory`` is what remains of the earlier ones."""
+        """Count one reading; the weight of earlier ones is multiplied by ``memory``."""
         self.readings = self.readings * memory + 1.0
         self.passed = self.passed * memory + passed
 
@@ -69,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UncertainRequest:
-    """A request that the slice does not cover, and what is known of it.
+    """A request that the gateway's share of the quota does not cover, and what is known of it.
 
-    ``chance`` is that of a reading to let it pass.  ``overrun_cost`` is the cost, for each worth, of letting
-    it in although it is beyond the quota.
+    ``chance`` is the probability that a reading admits it.  ``overrun_cost`` is what it costs to admit it
+    beyond the quota, as a multiple of its worth.
     """
 
     plan: str
@@ -84,23 +89,26 @@
 
     @property
     def expected_cost(self) -> float:
-        """Expected cost of letting it in unasked."""
+        """Expected cost of admitting it without a reading."""
         return (1.0 - self.chance) * self.overrun_cost * self.worth
 
     @property
     def is_worthwhile(self) -> bool:
-        """Whether letting it in unasked is expected to gain more than it costs."""
+        """Whether admitting it without a reading is expected to gain at least what it costs."""
         return self.chance * self.worth >= self.expected_cost
 
     @property
     def loss_without_reading(self) -> float:
-        """Expected loss if it is not asked about, whichever way is then chosen."""
+        """Expected loss without a reading, by the better choice of admitting and refusing.
+
+        Beyond this gateway's part of the ceiling there is no choice: it would be refused.
+        """
         refused = self.chance * self.worth
         return refused if self.headroom is Headroom.BEYOND_PART else min(refused, self.expected_cost)
 
 
 class SpeculativeAdmission:
-    """Learns from readings, and decides on the doubtful requests of one gateway."""
+    """Learns from readings, and decides on the uncertain requests of one gateway."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -108,35 +116,41 @@
         self._plan_pass_rates: dict[tuple[str, bool, Headroom], PassRate] = {}
         self._mean_loss = Mean()
         self._mean_worth = Mean()
-        # Empty at first: what a former life of this gateway let in is not known.
+        # Empty at first, as it is not known what this gateway admitted before a restart.
         self._budget = GapCounter(EPSILON, 0.0, 0.0)
 
     def chance(self, plan: str, is_retry: bool, headroom: Headroom, customer_rate: PassRate) -> float:
-        """The chance that a reading lets such a request of a customer with these readings pass."""
+        """The chance that a reading admits such a request of a customer with this pass rate."""
         overall_rate = self._pass_rates.get((is_retry, headroom), NO_READINGS)
         plan_rate = self._plan_pass_rates.get((plan, is_retry, headroom), NO_READINGS)
         return customer_rate.estimate(plan_rate.estimate(overall_rate.estimate(START_CHANCE)))
 
     def learn(self, uncertain: UncertainRequest, customer_rate: PassRate, passed: bool) -> None:
-        """Take in a reading for a doubtful request."""
+        """Learn from a reading for an uncertain request."""
         customer_rate.add(passed, CUSTOMER_MEMORY)
         kind = uncertain.is_retry, uncertain.headroom
         self._pass_rates.setdefault(kind, PassRate()).add(passed, GATEWAY_MEMORY)
         self._plan_pass_rates.setdefault((uncertain.plan, *kind), PassRate()).add(passed, GATEWAY_MEMORY)
 
     def should_read(self, uncertain: UncertainRequest, read_fraction: float) -> bool:
-        """Whether to spend a call: for the dearest first; ``read_fraction`` 1 asks about all."""
+        """Whether to take a reading: the more likely, the more is lost without one.
+
+        ``read_fraction`` is the fraction of uncertain requests to read for; 1 stands for all of them.
+        """
         self._mean_loss.add(uncertain.loss_without_reading)
         if read_fraction >= 1.0:
             return True
-        # Reads about that fraction of the requests while it is small, and ever nearer to all as it nears 1.
+        # About the given fraction while that is small; as it nears 1, the odds rise until all are read for.
         odds = read_fraction / (1.0 - read_fraction**2)
         return self._rng.random() < odds * uncertain.loss_without_reading / max(
             EPSILON, self._mean_loss.value
         )
 
     def admits(self, uncertain: UncertainRequest) -> bool:
-        """Whether to let in a request unasked: its gain is worth it, the more so the less budget is left."""
+        """Whether to admit a request without a reading, at the expense of the budget for overruns.
+
+        The less of the budget is left, the more its expected gain has to exceed its expected cost.
+        """
         cost, budget = uncertain.expected_cost, self._budget
         if not budget.covers(cost) or uncertain.chance * uncertain.worth * budget.level < cost * budget.cap:
             return False
@@ -144,10 +158,10 @@
         return True
 
     def record_sent(self, worth: float) -> None:
-        """A request was sent on: what guesses may cost grows with it."""
+        """Record that a request was sent on, which adds to the budget for overruns."""
         self._mean_worth.add(worth)
         self._budget.resize(max(EPSILON, OVERRUN_BUDGET_REQUESTS * self._mean_worth.value))
-        self._budget.refill(OVERRUN_BUDGET_SHARE * worth)
+        self._budget.refill(OVERRUN_BUDGET_FRACTION * worth)
 
 
 class Mean:
@@ -158,6 +172,6 @@
         self._count = 0
 
     def add(self, value: float) -> None:
-        """Take in one value."""
+        """Add one value."""
         self._count += 1
         self.value += max(MIN_MEAN_GAIN, 1.0 / self._count) * (value - self.value)
