--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -56,7 +56,7 @@
         may_have_run = any(attempt.may_have_run for attempt in self.attempts)
         return not may_have_run or (
             self.request_class.effect is interface.Effect.KEYED
-            and self.request_class.group is interface.DedupGroup.ALL
+            and self.request_class.dedup_group is interface.DedupGroup.ALL
         )
 
     def allows_attempt_on(self, backend: Backend, arrives_by_ns: int) -> bool:
@@ -71,10 +71,10 @@
             return True
         if (
             self.request_class.effect is interface.Effect.UNSAFE
-            or arrives_by_ns - first.sent_ns >= self.request_class.window_ns
+            or arrives_by_ns - first.sent_ns >= self.request_class.dedup_window_ns
         ):
             return False
         first_entry, entry = first.backend.entry, backend.entry
-        if self.request_class.group is interface.DedupGroup.CELL:
+        if self.request_class.dedup_group is interface.DedupGroup.CELL:
             return (first_entry.zone, first_entry.cell) == (entry.zone, entry.cell)
-        return self.request_class.group is interface.DedupGroup.ALL or first_entry.zone == entry.zone
+        return self.request_class.dedup_group is interface.DedupGroup.ALL or first_entry.zone == entry.zone
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -84,7 +84,7 @@
         if not self.settings.has_counter:
             return False
         inflight.uncertainty = uncertain = self.assess(inflight, headroom)
-        return not self.clock.suspends_counts(now) and self.speculation.should_read(
+        return not self.clock.suspends_customer_calls(now) and self.speculation.should_read(
             uncertain, self.read_fraction
         )
 
@@ -100,7 +100,7 @@
     def admits_without_reading(self, inflight: InFlightRequest[Customer], now: int) -> bool:
         """Whether to admit an uncertain request: by estimates, or the even share if the counter is silent."""
         customer, units, uncertain = inflight.customer, inflight.request.units, inflight.uncertainty
-        silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_counts(now)
+        silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_customer_calls(now)
         if uncertain is None or silent:
             return customer.covers_without_reading(units)
         return (uncertain.is_worthwhile and customer.share_covers(units)) or self.speculation.admits(
@@ -179,11 +179,11 @@
         self, answer: interface.Counted, now: int
     ) -> tuple[Customer, list[tuple[InFlightRequest[Customer], bool]]] | None:
         """Apply an answer; returns its customer, and whether the quota covers each request held for it."""
-        call = self.calls.pop(answer.count, None)
+        call = self.calls.pop(answer.name, None)
         if call is None:
             return None
         customer = call.customer
-        if call.clock_steps != self.clock.steps:
+        if call.clock_steps != self.clock.clock_steps:
             # The call was added to a count that the others do not read, so it is still to be added to theirs.
             answer = replace(answer, status=interface.Status.UNUSED)
         call.clock_agreed = call.clock_agreed and self.clock.agrees(now)
@@ -197,7 +197,7 @@
             )
         if customer.counter_answered:
             self.answered_at_ns = now
-            return customer, customer.apply_reading(call, answer.level, now)
+            return customer, customer.apply_reading(call, answer.total, now)
         if answer.status.never_ran:
             customer.unreported += call.reported
         decisions = []
@@ -213,9 +213,9 @@
 
     def handle_clock_answer(self, answer: interface.Counted, now: int) -> None:
         """Apply the answer to a call of the clock; if it changes the time, discard what was read before."""
-        steps = self.clock.steps
-        self.clock.answered(answer, now)
-        if self.clock.steps != steps:
+        steps = self.clock.clock_steps
+        self.clock.handle_answer(answer, now)
+        if self.clock.clock_steps != steps:
             for customer in self.customers.values():
                 customer.refill_allowances(now)
                 customer.discard_readings(now)
