--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -1,15 +1,22 @@
-"""Agreement of the gateways on the time that names shared counts, reached through the shared counter alone.
-
-The name of a shared count, and what has been refilled since it began, follow from the time.  Wall clocks of
-machines may differ, so a gateway relies on a shared count only while it has recent evidence that the others
-name it by the same time.  The evidence are beacons: each gateway in agreement adds its time to one well-known
-count that lives for half a second, so whatever a reader finds there is not older.  A gateway whose own clock
-does not fit the beacons takes over the time that they state.
-
-Where there is no beacon, a gateway may set the time by the first one.  Gateways in agreement also renew two
-presence counts in turn, of which one is always alive: whoever finds one knows that the time has been set, and
-waits for a beacon instead of setting it once more.  ``docs/design.md`` tells the protocol.  Times are
-nanoseconds of the gateway's own clock, which only advances.
+"""Agreement of all gateways on one time, from which they derive the names of shared counts.
+
+A customer's shared count is named by its epoch, a span of time after which a new count begins; what has been
+refilled since then follows from the time as well.  Wall clocks of machines may differ, so a gateway relies on
+shared counts only while it has recent evidence that the others name them by the same time.  Gateways exchange
+this evidence through the shared counter alone, by counts with fixed names:
+
+* The beacon count lives for half a second, so that a reader finds no older beacon in it.  Each gateway in
+  agreement regularly adds a beacon: a fixed amount plus the time that it agrees on.  The total tells how many
+  beacons there are and the mean of their times.  A gateway whose time is close to that slews its offset, that
+  is, moves it a little; another one takes over the beacons' time (a step) once a later beacon confirms it.
+* Two presence counts say that the time has been set.  Gateways in agreement renew one, then the other, so
+  that one always exists.  A gateway that finds one of them, but no beacon, waits for a beacon; it sets the
+  time anew only if the presence counts have not been renewed for long.
+* The lock count lets one gateway at a time set the time: of those that find neither a beacon nor a renewed
+  presence count, the first one to add to it sends the first beacon.
+
+A gateway has one such call to the counter out at a time; ``ClockSync.handle_answer`` schedules the next one.
+Times are nanoseconds of the gateway's own clock, which only advances, unless they are said to be agreed ones.
 """
 
 from __future__ import annotations
@@ -22,124 +29,125 @@
 from gingerworks import interface
 from gingerworks.policy.constants import COUNT_TTL_NS, MS, SECOND
 
-# Counts are named by the number of their epoch within a lap.  A lap is no divisor of an hour, so that a clock
-# which is off by whole hours is found out instead of agreeing by chance.
+# A count's name contains the number of its epoch within a lap, so names repeat after a lap.  A lap does not
+# divide an hour, so that a clock which is off by whole hours is detected instead of agreeing by chance.
 EPOCHS_PER_LAP = 7
 LAP_NS = EPOCHS_PER_LAP * COUNT_TTL_NS
 
-BEACON_LIFE_NS = 500 * MS
-STATED_STEP_NS = 100 * MS  # of the time that a beacon states: totals are exact to seven digits
-BEACON = 200_000  # added by each beacon, on top of the time that it states in steps
-BEACONS_MOST = BEACON // (LAP_NS // STATED_STEP_NS)  # that one total can be told apart into
-LATE_NS = 150 * MS  # between the writing of a beacon and its turn at the counter
-SLEW_MOST_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
-READ_LIFE_NS = MS  # of a count that is only read: it must not shorten the life of what is added after that
-LOCK_LIFE_NS = SECOND  # long enough for whoever sets the time to make that known
+BEACON_LIFETIME_NS = 500 * MS
+TIME_STEP_NS = 100 * MS  # resolution of a beacon's time: the counter's totals are exact to seven digits
+BEACON_AMOUNT = 200_000  # added by each beacon, on top of its time within the lap, which is in steps
+MAX_BEACONS = BEACON_AMOUNT // (LAP_NS // TIME_STEP_NS)  # more in one total cannot be told apart
+MAX_BEACON_DELAY_NS = 150 * MS  # between the writing of a beacon and its turn at the counter
+MAX_SLEW_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
+READ_LIFETIME_NS = MS  # of a count that a read creates: it must not shorten the life of what is added later
+LOCK_LIFETIME_NS = SECOND  # long enough for the gateway that sets the time to make that known
 PRESENCE_TURN_NS = COUNT_TTL_NS // 2  # one presence count is renewed for so long, then the other one
-BEACONS_TO_RENEWAL = 4
-UNMET_MOST = 2  # beacons in a row that meet no other one: then a gateway takes itself for alone
+BEACONS_PER_RENEWAL = 4  # a gateway renews a presence count before every fourth of its beacons
+ALONE_AFTER_BEACONS = 2  # own beacons in a row that met no other one: the gateway assumes that it is alone
 TAKEOVER_READS = 10  # in a row without a beacon, at the least, before the time is set anew
-FIRST_RENEWALS = 10  # by the gateways of a fleet that agree for the first time, on average
-
-READ_NS = 400 * MS  # between reads while there is no agreement, in a small fleet
-READ_NS_EACH = 5 * MS  # the same for each gateway of a large one: two hundred reads a second in all
-READ_NS_MISSED = 2 * SECOND  # at the most after calls without an answer, in a small fleet
-BEACON_NS_EACH = 100 * MS  # ten beacons a second in all, in a middling fleet
-BEACON_NS_MOST = 10 * SECOND  # between the beacons of a gateway of a large fleet
-BEACON_NS_EACH_HUGE = 50 * MS  # twenty beacons a second in all, in a still larger one
-BEACON_NS_MOST_SMALL = 3 * SECOND  # between the beacons of a gateway of a small fleet
-FIRST_BEACON_NS = 3 * SECOND  # until the first one, at the most: those that start beside it wait for it
-ALONE_NS = SECOND  # between the beacons of a gateway that takes itself for alone
-RETURN_NS = 2 * ALONE_NS  # until gateways in agreement have stated their time to a counter that is back
-SMALL_FLEET = 50  # gateways: their first reads crowd no counter
-FIRST_READ_NS_EACH = 1_250_000  # over so long for each gateway the first reads of a larger fleet are spread
-TURN_NS_EACH = 20 * MS  # for each gateway: within so long they go on after a first read without a beacon
-TURNS_NS_MOST = 300 * MS
-START_NS = SECOND  # at the most, for the first attempt at agreement
-RETRY_NS = 100 * MS
-RETRIES_MOST = 3
-CONFIRM_NS = 20 * MS  # until a renewal that created its count is made again
-CONFIRMATIONS_MOST = 10
-CHECK_AGAIN_NS = 2 * SECOND  # after a presence count was found
-CHECKED_NS = 300 * MS  # well within a beacon's life: nobody sets the time unseen between check and claim
-CONFIRMED_NS = 2 * BEACON_LIFE_NS  # between the times that two beacons state of one another's clocks
-SETTLE_NS = BEACON_LIFE_NS + 300 * MS  # until a beacon that was read is gone, however late it came
-AGREED_PAUSES = 3  # between beacons: evidence is good for as long,
-AGREED_NS_LEAST = 20 * SECOND  # or for as long as an outage of the counter that is soon over
-
-
-def _well_known(text: str) -> int:
+FIRST_AGREEMENT_RENEWALS = 10  # on average, by all gateways of a fleet that agree for the first time
+
+READ_INTERVAL_NS = 400 * MS  # between reads of a gateway that is not in agreement, in a small fleet
+READ_INTERVAL_PER_GATEWAY_NS = 5 * MS  # the same in a large fleet: two hundred reads a second in all
+MAX_READ_BACKOFF_NS = 2 * SECOND  # between reads after calls without an answer, in a small fleet
+BEACON_INTERVAL_PER_GATEWAY_NS = 100 * MS  # ten beacons a second in all, in a medium-sized fleet
+MAX_BEACON_INTERVAL_LARGE_NS = 10 * SECOND  # between the beacons of one gateway of a large fleet
+BEACON_INTERVAL_PER_GATEWAY_HUGE_NS = 50 * MS  # twenty beacons a second in all, in a still larger fleet
+MAX_BEACON_INTERVAL_SMALL_NS = 3 * SECOND  # between the beacons of one gateway of a small fleet
+MAX_FIRST_BEACON_NS = 3 * SECOND  # until the first beacon: gateways that start at the same time wait for it
+ALONE_INTERVAL_NS = SECOND  # between the beacons of a gateway that assumes that it is alone
+COUNTER_RETURN_NS = (
+    2 * ALONE_INTERVAL_NS
+)  # until gateways in agreement have sent beacons to a counter that is back
+SMALL_FLEET_GATEWAYS = 50  # the first reads of so many do not crowd the counter
+FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # the first reads of a larger fleet are spread over so long
+SECOND_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # second reads, if the first one found no beacon, over so long,
+MAX_SECOND_READ_SPREAD_NS = 300 * MS  # or over this, if that is shorter
+MAX_FIRST_ATTEMPT_NS = SECOND  # for the first attempt at agreement, which customers' calls wait for
+RETRY_DELAY_NS = 100 * MS  # before a renewal or a presence check without an answer is repeated
+MAX_RETRIES = 3
+RENEWAL_REPEAT_DELAY_NS = 20 * MS  # before a renewal that created its count is repeated
+MAX_RENEWAL_REPEATS = 10
+PRESENCE_RECHECK_NS = 2 * SECOND  # between a check that found a presence count and the next check
+MAX_PRESENCE_CHECK_AGE_NS = 300 * MS  # well within a beacon's life: nobody sets the time unseen after a check
+MAX_CONFIRMING_GAP_NS = 2 * BEACON_LIFETIME_NS  # between offsets seen in two beacons that confirm each other
+BEACON_SETTLE_NS = BEACON_LIFETIME_NS + 300 * MS  # until a beacon that was read is gone, even a delayed one
+AGREEMENT_INTERVALS = 3  # evidence of agreement is valid for so many intervals between beacons,
+MIN_AGREEMENT_NS = 20 * SECOND  # or for as long as an outage of the counter that is soon over
+
+
+def _well_known_name(text: str) -> int:
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") >> 1  # the counter's names have 63 bits
 
 
-BEACON_NAME = _well_known("clock beacon")
-LOCK_NAME = _well_known("clock lock")
-PRESENCE_NAMES = _well_known("clock presence 0"), _well_known("clock presence 1")
+BEACON_NAME = _well_known_name("clock beacon")
+LOCK_NAME = _well_known_name("clock lock")
+PRESENCE_NAMES = _well_known_name("clock presence 0"), _well_known_name("clock presence 1")
 
 
-class Step(Enum):
+class Purpose(Enum):
     """What a call to the counter is for."""
 
     READ = "learn what the beacons state"
     CHECK_FIRST = "find out whether the first presence count exists"
     CHECK_SECOND = "find out whether the second one exists"
-    LOCK = "keep others from setting the time meanwhile"
-    CLAIM = "set the time, unless another gateway has"
-    BEACON = "state the time that this gateway agrees on"
+    LOCK = "keep others from setting the time at the same time"
+    SET_TIME = "send the first beacon, unless another gateway has set the time"
+    BEACON = "tell the others the time that this gateway agrees on, and read their beacons"
     RENEW = "keep a presence count alive"
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """A call that is out."""
+    """A call to the counter whose answer has not come."""
 
-    step: Step
-    count: int
+    purpose: Purpose
+    name: int
     amount: float
-    made_at: int
+    sent_ns: int
 
 
 class ClockSync:
-    """One gateway's part in the agreement; ``Policy`` carries out its calls, one at a time."""
+    """One gateway's part in the agreement; ``Policy`` makes its calls to the counter, one at a time."""
 
     def __init__(self, gateways: int, rng: random.Random) -> None:
         self._gateways = gateways
         self._rng = rng
         self._offset_ns = 0  # of the agreed time from this gateway's clock
-        self._agreed_until: int | None = None
-        self._candidate_ns: int | None = None  # the offset that beacons have shown, where it is another one
-        self._candidate_at = 0
-        self._doubted = False  # there was agreement until beacons stated another time
-        self._absent_since: int | None = None  # reads in a row have found no beacon
-        self._absent_reads = 0
-        self._presence = [0] * len(PRESENCE_NAMES)  # as last read
-        self._presence_changed = False
-        self._checked_at = 0
-        self._found_at: int | None = None  # a presence count, lately
-        self._call: PendingCall | None = None
-        self._misses = 0  # calls in a row without an answer
-        self._may_set_at: int | None = None  # none before the first answer
-        self._beacons = 0
-        self._unmet = 0  # beacons in a row
-        self._beacon_at = 0  # after a renewal
-        self._confirmations = 0  # of the renewal that is under way
-        self._next = Step.READ
+        self._agreed_until_ns: int | None = None  # none while there is no evidence of agreement
+        # The offset that beacons show, while it contradicts this gateway's own and is not confirmed.
+        self._candidate_offset_ns: int | None = None
+        self._candidate_found_ns = 0
+        self._contradicted = False  # there was agreement until beacons showed another time
+        self._no_beacon_since_ns: int | None = None  # the first of the latest reads that found no beacon
+        self._reads_without_beacon = 0  # in a row
+        self._presence_totals = [0] * len(PRESENCE_NAMES)  # as last read
+        self._presence_changed = False  # in the latest check
+        self._presence_checked_ns = 0  # the latest check began
+        self._presence_found_ns: int | None = None  # the latest check that found a presence count
+        self._pending: PendingCall | None = None
+        self._failed_calls = 0  # in a row, without an answer
+        self._may_set_time_ns: int | None = None  # from then on; none before the counter's first answer
+        self._beacons_planned = 0
+        self._solitary_beacons = 0  # own beacons in a row that met no other one
+        self._next_beacon_ns = 0
+        self._renewal_repeats = 0  # of the renewal that is under way
+        self._next_purpose = Purpose.READ
         self._started = False
-        self.due_at_ns: int | None = None  # when the next call is to be made; none while one is out
-        self._attempted = False  # the first attempt at agreement is over
-        self.start_deadline_ns = 0  # the first attempt at agreement is given up then
-        self.clock_steps = (
-            0  # how often another time was taken over: earlier readings tell nothing after that
-        )
+        self.due_at_ns: int | None = None  # when to make the next call; none while one is out
+        self._first_attempt_over = False  # whether the first attempt at agreement has ended
+        self.start_deadline_ns = 0  # when the first attempt at agreement ends at the latest
+        self.clock_steps = 0  # times taken over from others; readings of counts from before a step are void
 
     def start(self, now: int) -> bool:
-        """Begin, unless that was done or there is nobody to agree with; says whether it began."""
+        """Begin, unless that was done or there is nobody to agree with; return whether it began."""
         if self._started or self._gateways <= 1:
             return False
-        self._started, self.start_deadline_ns, self.due_at_ns = True, now + START_NS, now
-        if self._gateways > SMALL_FLEET:
-            self.due_at_ns = now + int(self._rng.random() * self._gateways * FIRST_READ_NS_EACH)
+        self._started, self.start_deadline_ns, self.due_at_ns = True, now + MAX_FIRST_ATTEMPT_NS, now
+        if self._gateways > SMALL_FLEET_GATEWAYS:
+            self.due_at_ns = now + int(self._rng.random() * self._gateways * FIRST_READ_SPREAD_PER_GATEWAY_NS)
         return True
 
     def agreed_time(self, now: int) -> int:
@@ -148,265 +156,295 @@
 
     def agrees(self, now: int) -> bool:
         """Whether there is recent evidence that the other gateways name shared counts by the same time."""
-        return self._gateways <= 1 or (self._agreed_until is not None and now <= self._agreed_until)
+        return self._gateways <= 1 or (self._agreed_until_ns is not None and now <= self._agreed_until_ns)
 
     def suspends_customer_calls(self, now: int) -> bool:
-        """Whether no shared count of a customer is to be called.
+        """Whether calls for customers' shared counts must not be made now; they are not deferred either.
 
-        So it is while the latest evidence is against this gateway's time.  A larger fleet that starts makes
-        its first attempt at agreement before: calls for customers would leave no room at the counter for it.
+        That is so while the latest evidence contradicts this gateway's time.  In a larger fleet it is also so
+        during the first attempt at agreement: customers' calls would leave it no room at the counter.
         """
-        return self._candidate_ns is not None or (self._gateways > SMALL_FLEET and self._is_starting(now))
+        return self._candidate_offset_ns is not None or (
+            self._gateways > SMALL_FLEET_GATEWAYS and self._is_first_attempt(now)
+        )
 
     def defers_customer_calls(self, now: int) -> bool:
-        """Whether calls for customers wait: a small fleet makes its first attempt in milliseconds."""
-        return self._gateways <= SMALL_FLEET and self._is_starting(now)
+        """Whether customers' calls wait until the first attempt is over: milliseconds, in a small fleet."""
+        return self._gateways <= SMALL_FLEET_GATEWAYS and self._is_first_attempt(now)
 
-    def _is_starting(self, now: int) -> bool:
-        return not self._attempted and now < self.start_deadline_ns
+    def _is_first_attempt(self, now: int) -> bool:
+        return not self._first_attempt_over and now < self.start_deadline_ns
 
     def take_due_call(self, now: int) -> interface.Count | None:
-        """The call that is due, if any."""
-        if self._call is not None or self.due_at_ns is None or now < self.due_at_ns:
+        """Return the call that is due, if any, and note that it is out."""
+        if self._pending is not None or self.due_at_ns is None or now < self.due_at_ns:
             return None
-        step = self._next
-        if step is Step.BEACON and not self.agrees(now):
-            step = Step.READ
-        if step in (Step.CHECK_SECOND, Step.LOCK, Step.CLAIM) and now - self._checked_at > CHECKED_NS:
-            step = Step.READ  # whoever has set the time meanwhile may not have been seen
-        if step is Step.CHECK_FIRST:
-            self._checked_at, self._presence_changed = now, False
-        if step in (Step.BEACON, Step.CLAIM) and self._lap_ends(now):
-            self.due_at_ns = now + SETTLE_NS
+        purpose = self._next_purpose
+        if purpose is Purpose.BEACON and not self.agrees(now):
+            purpose = Purpose.READ
+        if (
+            purpose in (Purpose.CHECK_SECOND, Purpose.LOCK, Purpose.SET_TIME)
+            and now - self._presence_checked_ns > MAX_PRESENCE_CHECK_AGE_NS
+        ):
+            purpose = Purpose.READ  # the check is too old: another gateway may have set the time since
+        if purpose is Purpose.CHECK_FIRST:
+            self._presence_checked_ns, self._presence_changed = now, False
+        if purpose in (Purpose.BEACON, Purpose.SET_TIME) and self._is_lap_ending(now):
+            self.due_at_ns = now + BEACON_SETTLE_NS
             return None
-        count, amount, keep_ns = self._parameters(step, now)
-        self._call, self.due_at_ns = PendingCall(step, count, amount, now), None
-        return interface.Count(count, amount, keep_ns)
+        name, amount, ttl_ns = self._call_parameters(purpose, now)
+        self._pending, self.due_at_ns = PendingCall(purpose, name, amount, now), None
+        return interface.Count(name, amount, ttl_ns)
 
-    def awaits(self, count: int) -> bool:
-        """Whether an answer for this count is for ``answered``."""
-        return self._call is not None and self._call.count == count
+    def awaits(self, name: int) -> bool:
+        """Whether an answer for the count of this name is for ``handle_answer``."""
+        return self._pending is not None and self._pending.name == name
 
     def handle_answer(self, answer: interface.Counted, now: int) -> None:
-        """Take in the answer to the call that is out, and plan the next one."""
-        call, self._call = self._call, None
+        """Process the answer to the call that is out, and schedule the next one."""
+        call, self._pending = self._pending, None
         if call is None:
             return
         if answer.status is not interface.Status.DELIVERED:
-            self._missed(call, answer.status, now)
+            self._handle_failure(call, answer.status, now)
             return
-        if self._may_set_at is None:
-            self._may_set_at = now + (RETURN_NS if self._misses else 0)
-        self._misses = 0
-        match call.step:
-            case Step.READ | Step.CLAIM | Step.BEACON:
-                self._take_total(call, answer.total, now)
-            case Step.CHECK_FIRST | Step.CHECK_SECOND:
-                self._take_presence(call.step, round(answer.total), now)
-            case Step.LOCK if round(answer.total) == 1:
-                self._plan(Step.CLAIM, now)
-            case Step.LOCK:
-                self._read_again(now)
-            case Step.RENEW if round(answer.total) <= 1 and self._confirmations < CONFIRMATIONS_MOST:
-                # Guards against a count that a check has created just before, to which little life is left.
-                self._confirmations += 1
-                self._plan(Step.RENEW, now + self._about(CONFIRM_NS))
-            case Step.RENEW:
-                self._confirmations = 0
-                self._plan(Step.BEACON, self._beacon_at)
-
-    def _lap_ends(self, now: int) -> bool:
-        """Whether a beacon could meet one of the next lap: times of two laps have no mean."""
-        return self.agreed_time(now) % LAP_NS >= LAP_NS - SETTLE_NS
-
-    def _parameters(self, step: Step, now: int) -> tuple[int, float, int]:
-        """Name, amount and life for the call of this step."""
-        match step:
-            case Step.READ:
-                return BEACON_NAME, 0.0, READ_LIFE_NS
-            case Step.CLAIM | Step.BEACON:
-                stated = self.agreed_time(now) % LAP_NS // STATED_STEP_NS
-                return BEACON_NAME, float(BEACON + stated), BEACON_LIFE_NS
-            case Step.LOCK:
-                return LOCK_NAME, 1.0, LOCK_LIFE_NS
-            case Step.RENEW:
+        if self._may_set_time_ns is None:
+            self._may_set_time_ns = now + (COUNTER_RETURN_NS if self._failed_calls else 0)
+        self._failed_calls = 0
+        match call.purpose:
+            case Purpose.READ | Purpose.SET_TIME | Purpose.BEACON:
+                self._handle_beacon_total(call, answer.total, now)
+            case Purpose.CHECK_FIRST | Purpose.CHECK_SECOND:
+                self._handle_presence(call.purpose, round(answer.total), now)
+            case Purpose.LOCK if round(answer.total) == 1:
+                self._schedule(Purpose.SET_TIME, now)
+            case Purpose.LOCK:
+                self._schedule_reread(now)
+            case Purpose.RENEW if round(answer.total) <= 1 and self._renewal_repeats < MAX_RENEWAL_REPEATS:
+                # A check may have created the count just before, so that it lives for a millisecond only.
+                self._renewal_repeats += 1
+                self._schedule(Purpose.RENEW, now + self._jittered(RENEWAL_REPEAT_DELAY_NS))
+            case Purpose.RENEW:
+                self._renewal_repeats = 0
+                self._schedule(Purpose.BEACON, self._next_beacon_ns)
+
+    def _is_lap_ending(self, now: int) -> bool:
+        """Whether a beacon might be added to one of the next lap: the mean of their times would be wrong."""
+        return self.agreed_time(now) % LAP_NS >= LAP_NS - BEACON_SETTLE_NS
+
+    def _call_parameters(self, purpose: Purpose, now: int) -> tuple[int, float, int]:
+        """Name, amount and lifetime of the count in a call for this purpose."""
+        match purpose:
+            case Purpose.READ:
+                return BEACON_NAME, 0.0, READ_LIFETIME_NS
+            case Purpose.SET_TIME | Purpose.BEACON:
+                stated = self.agreed_time(now) % LAP_NS // TIME_STEP_NS
+                return BEACON_NAME, float(BEACON_AMOUNT + stated), BEACON_LIFETIME_NS
+            case Purpose.LOCK:
+                return LOCK_NAME, 1.0, LOCK_LIFETIME_NS
+            case Purpose.RENEW:
                 turn = self.agreed_time(now) // PRESENCE_TURN_NS
                 return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_TTL_NS
-            case Step.CHECK_FIRST | Step.CHECK_SECOND:
-                return PRESENCE_NAMES[step is Step.CHECK_SECOND], 0.0, READ_LIFE_NS
-
-    def _missed(self, call: PendingCall, status: interface.Status, now: int) -> None:
-        """No answer: the outcome is not known, and what was not read is no sign that nobody is there."""
-        self._misses += 1
-        if call.step is Step.CLAIM and not status.never_ran:
-            self._beacon_at = now + self._read_pause()
-            self._plan(Step.RENEW, now)  # most likely the time is set: others must not set it again
+            case Purpose.CHECK_FIRST | Purpose.CHECK_SECOND:
+                return PRESENCE_NAMES[purpose is Purpose.CHECK_SECOND], 0.0, READ_LIFETIME_NS
+
+    def _handle_failure(self, call: PendingCall, status: interface.Status, now: int) -> None:
+        """Schedule a retry or another call after one without an answer, which proves nothing about others."""
+        self._failed_calls += 1
+        if call.purpose is Purpose.SET_TIME and not status.never_ran:
+            self._next_beacon_ns = now + self._jittered_read_interval()
+            self._schedule(Purpose.RENEW, now)  # most likely the time was set: others must not set it again
             return
-        retried = call.step in (Step.RENEW, Step.CHECK_FIRST, Step.CHECK_SECOND)
-        if retried and self._misses <= RETRIES_MOST:
-            self._plan(call.step, now + self._about(RETRY_NS))
+        retried = call.purpose in (Purpose.RENEW, Purpose.CHECK_FIRST, Purpose.CHECK_SECOND)
+        if retried and self._failed_calls <= MAX_RETRIES:
+            self._schedule(call.purpose, now + self._jittered(RETRY_DELAY_NS))
         elif self.agrees(now):
-            self._plan(Step.BEACON, now + self._about(max(ALONE_NS, self._beacon_pause_most() // 4)))
-        elif self._is_starting(now):
-            self._plan(Step.READ, now + self._read_pause() // 2)
+            self._schedule(
+                Purpose.BEACON, now + self._jittered(max(ALONE_INTERVAL_NS, self._beacon_interval() // 4))
+            )
+        elif self._is_first_attempt(now):
+            self._schedule(Purpose.READ, now + self._jittered_read_interval() // 2)
         else:
-            most = max(READ_NS_MISSED, 2 * self._read_pause_most())
-            self._plan(Step.READ, now + min(most, self._read_pause() * self._misses))
-
-    def _read_again(self, now: int) -> None:
-        """Wait for a beacon."""
-        self._attempted = True
-        pause = min(self._read_pause_most(), READ_NS * max(1, self._absent_reads))
-        self._plan(Step.READ, now + self._about(pause))
-
-    def _take_total(self, call: PendingCall, total: float, now: int) -> None:
-        """Compare the beacons of others with this gateway's time."""
+            longest = max(MAX_READ_BACKOFF_NS, 2 * self._read_interval())
+            self._schedule(
+                Purpose.READ, now + min(longest, self._jittered_read_interval() * self._failed_calls)
+            )
+
+    def _schedule_reread(self, now: int) -> None:
+        """Read the beacon count again later, the later the more reads have found no beacon."""
+        self._first_attempt_over = True
+        interval = min(self._read_interval(), READ_INTERVAL_NS * max(1, self._reads_without_beacon))
+        self._schedule(Purpose.READ, now + self._jittered(interval))
+
+    def _handle_beacon_total(self, call: PendingCall, total: float, now: int) -> None:
+        """Compare the beacons of other gateways with this gateway's time."""
         others = round(total - call.amount)
-        beacons = others // BEACON
+        beacons = others // BEACON_AMOUNT
         if others == 0:
-            self._met_nobody(call, now)
-        elif not 1 <= beacons <= BEACONS_MOST:
-            self._missed(call, interface.Status.ERROR, now)  # no total that beacons make
+            self._handle_no_beacon(call, now)
+        elif not 1 <= beacons <= MAX_BEACONS:
+            self._handle_failure(call, interface.Status.ERROR, now)  # not a sum of beacons
         else:
-            self._absent_since = None
-            stated_ns = (others % BEACON) * STATED_STEP_NS // beacons
-            self._compare(stated_ns, beacons == 1, call.made_at, now)
-            self._plan_after_beacon(call.step, now)
-
-    def _met_nobody(self, call: PendingCall, now: int) -> None:
-        """No beacon of another gateway: agreement stays, or this gateway sets the time, if it may."""
-        if call.step is Step.CLAIM or (call.step is Step.BEACON and self.agrees(now)):
-            self._unmet = UNMET_MOST if call.step is Step.CLAIM else min(UNMET_MOST, self._unmet + 1)
-            self._agree(now)
-            self._plan_beacon(now)
+            self._no_beacon_since_ns = None
+            stated_ns = (others % BEACON_AMOUNT) * TIME_STEP_NS // beacons
+            self._compare_times(stated_ns, beacons == 1, call.sent_ns, now)
+            self._schedule_after_beacon(call.purpose, now)
+
+    def _handle_no_beacon(self, call: PendingCall, now: int) -> None:
+        """No beacon of another gateway was found: keep the agreed time, or prepare to set it, if allowed."""
+        if call.purpose is Purpose.SET_TIME or (call.purpose is Purpose.BEACON and self.agrees(now)):
+            self._solitary_beacons = (
+                ALONE_AFTER_BEACONS
+                if call.purpose is Purpose.SET_TIME
+                else min(ALONE_AFTER_BEACONS, self._solitary_beacons + 1)
+            )
+            self._confirm_agreement(now)
+            self._schedule_beacon(now)
             return
-        if self._doubted:
-            # Guards against one beacon that was held up leaving nobody who states the time.
-            self._agree(now)
-            self._plan(Step.BEACON, now)
+        if self._contradicted:
+            # One delayed beacon may have contradicted all gateways: without this, none would send any more.
+            self._confirm_agreement(now)
+            self._schedule(Purpose.BEACON, now)
             return
-        if self._absent_since is None:
-            self._absent_since, self._absent_reads = now, 0
-        self._absent_reads += 1
-        if self._absent_reads == 1:
-            # Guards against all gateways that start together crowding the counter: one sets the time.
-            turns = min(self._gateways * TURN_NS_EACH, TURNS_NS_MOST)
-            self._plan(Step.READ, now + int(self._rng.random() * turns))
+        if self._no_beacon_since_ns is None:
+            self._no_beacon_since_ns, self._reads_without_beacon = now, 0
+        self._reads_without_beacon += 1
+        if self._reads_without_beacon == 1:
+            # Gateways that start at the same time would all go on at once and crowd the counter.  With their
+            # second reads spread, one of them sets the time and the others find its beacon.
+            spread = min(self._gateways * SECOND_READ_SPREAD_PER_GATEWAY_NS, MAX_SECOND_READ_SPREAD_NS)
+            self._schedule(Purpose.READ, now + int(self._rng.random() * spread))
             return
-        found_lately = self._found_at is not None and now - self._found_at < CHECK_AGAIN_NS
-        if self._may_set_at is not None and now >= self._may_set_at and not found_lately:
-            self._plan(Step.CHECK_FIRST, now)
+        found_lately = (
+            self._presence_found_ns is not None and now - self._presence_found_ns < PRESENCE_RECHECK_NS
+        )
+        if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_lately:
+            self._schedule(Purpose.CHECK_FIRST, now)
         else:
-            self._read_again(now)
-
-    def _take_presence(self, step: Step, total: int, now: int) -> None:
-        """Set the time if nobody has for as long as presence counts live, or if nobody renews them."""
-        which = int(step is Step.CHECK_SECOND)
-        self._presence_changed = self._presence_changed or total != self._presence[which]
-        self._presence[which] = total
-        if step is Step.CHECK_FIRST:
-            self._plan(Step.CHECK_SECOND, now)
-        elif not any(self._presence) or self._nobody_is_left(now):
-            self._plan(Step.LOCK, now)
+            self._schedule_reread(now)
+
+    def _handle_presence(self, purpose: Purpose, total: int, now: int) -> None:
+        """Set the time if no presence count exists, or if none has been renewed for long."""
+        which = int(purpose is Purpose.CHECK_SECOND)
+        self._presence_changed = self._presence_changed or total != self._presence_totals[which]
+        self._presence_totals[which] = total
+        if purpose is Purpose.CHECK_FIRST:
+            self._schedule(Purpose.CHECK_SECOND, now)
+        elif not any(self._presence_totals) or self._is_presence_stale(now):
+            self._schedule(Purpose.LOCK, now)
         else:
-            self._found_at = now
-            self._read_again(now)
+            self._presence_found_ns = now
+            self._schedule_reread(now)
 
-    def _nobody_is_left(self, now: int) -> bool:
-        """Whether no gateway is in agreement any more, although the time has been set.
+    def _is_presence_stale(self, now: int) -> bool:
+        """Whether no gateway is in agreement any more, although presence counts still exist.
 
-        The last one may need some time to find that it is alone; from then on it is seen more often.
+        A last one may need some time to find that it is alone; from then on it sends beacons more often.  So
+        this waits for longer than it takes until such a gateway would have been noticed.
         """
-        if self._absent_since is None or self._presence_changed:
-            self._absent_since, self._absent_reads = now, 0
-        wait = 2 * self._beacon_pause_most() + 2 * ALONE_NS
-        return now - self._absent_since >= wait and self._absent_reads >= TAKEOVER_READS
-
-    def _compare(self, stated_ns: int, is_single: bool, made_at: int, now: int) -> None:
-        """Keep to this gateway's time, move it a little, or note that the beacons state another one.
-
-        The call had its turn between ``made_at`` and ``now``, at a time from the stated one on until the
-        beacon's life is over.
+        if self._no_beacon_since_ns is None or self._presence_changed:
+            self._no_beacon_since_ns, self._reads_without_beacon = now, 0
+        wait = 2 * self._beacon_interval() + 2 * ALONE_INTERVAL_NS
+        return now - self._no_beacon_since_ns >= wait and self._reads_without_beacon >= TAKEOVER_READS
+
+    def _compare_times(self, stated_ns: int, is_single: bool, sent_ns: int, now: int) -> None:
+        """Keep this gateway's time, slew it, or note that the beacons state another one.
+
+        ``stated_ns`` is the mean of the times in the beacons, ``is_single`` whether there is just one.
+        The counter handled the call between ``sent_ns`` and ``now`` on this gateway's clock, and in agreed
+        time between the stated time and the end of the beacon's life.  So the agreed time is ahead of this
+        gateway's by ``least_ahead`` to ``most_ahead``.
         """
-        earliest = _difference(stated_ns, self.agreed_time(now))
-        latest = earliest + STATED_STEP_NS + BEACON_LIFE_NS + LATE_NS + (now - made_at)
-        if earliest <= SLEW_MOST_NS and latest >= -SLEW_MOST_NS:
-            self._offset_ns += max(0, earliest) + min(0, latest)
-            self._agree(now)
+        least_ahead = _lap_difference(stated_ns, self.agreed_time(now))
+        most_ahead = least_ahead + TIME_STEP_NS + BEACON_LIFETIME_NS + MAX_BEACON_DELAY_NS + (now - sent_ns)
+        if least_ahead <= MAX_SLEW_NS and most_ahead >= -MAX_SLEW_NS:
+            self._offset_ns += max(0, least_ahead) + min(0, most_ahead)
+            self._confirm_agreement(now)
         else:
-            self._disagree(self._offset_ns + (earliest + latest) // 2, is_single, now)
+            self._handle_other_time(self._offset_ns + (least_ahead + most_ahead) // 2, is_single, now)
 
-    def _agree(self, now: int) -> None:
-        self._agreed_until = now + max(AGREED_NS_LEAST, AGREED_PAUSES * self._beacon_pause_most())
-        self._candidate_ns = self._absent_since = None
-        self._doubted = False
-        self._attempted = True
+    def _confirm_agreement(self, now: int) -> None:
+        self._agreed_until_ns = now + max(MIN_AGREEMENT_NS, AGREEMENT_INTERVALS * self._beacon_interval())
+        self._candidate_offset_ns = self._no_beacon_since_ns = None
+        self._contradicted = False
+        self._first_attempt_over = True
 
-    def _disagree(self, offset_ns: int, is_single: bool, now: int) -> None:
-        """Beacons state the time at this offset; it is taken over once a later one confirms it.
+    def _handle_other_time(self, offset_ns: int, is_single: bool, now: int) -> None:
+        """Beacons show another time, which has this offset from this gateway's clock.
 
-        Guards against a beacon that was held up on its way for seconds, and against the mean of several that
-        state different times.
+        It is taken over only once a later, single beacon confirms it: the first beacon may have been delayed
+        by seconds, and several beacons may state different times, whose mean is no one's time.
         """
-        self._doubted = self._doubted or self.agrees(now)
-        self._agreed_until = None
-        self._attempted = True
-        seen = self._candidate_ns
-        confirmed = seen is not None and abs(_difference(offset_ns, seen)) <= CONFIRMED_NS
-        if is_single and confirmed and now - self._candidate_at >= SETTLE_NS:
+        self._contradicted = self._contradicted or self.agrees(now)
+        self._agreed_until_ns = None
+        self._first_attempt_over = True
+        seen = self._candidate_offset_ns
+        confirmed = seen is not None and abs(_lap_difference(offset_ns, seen)) <= MAX_CONFIRMING_GAP_NS
+        if is_single and confirmed and now - self._candidate_found_ns >= BEACON_SETTLE_NS:
             self._offset_ns = offset_ns
             self.clock_steps += 1
-            self._agree(now)
-        elif self._candidate_ns is None or (is_single and not confirmed):
-            self._candidate_ns, self._candidate_at = offset_ns, now
+            self._confirm_agreement(now)
+        elif self._candidate_offset_ns is None or (is_single and not confirmed):
+            self._candidate_offset_ns, self._candidate_found_ns = offset_ns, now
 
-    def _plan_after_beacon(self, step: Step, now: int) -> None:
-        """The next call after a beacon of another gateway was read."""
-        self._unmet = 0
+    def _schedule_after_beacon(self, purpose: Purpose, now: int) -> None:
+        """Schedule the next call after a beacon of another gateway was read."""
+        self._solitary_beacons = 0
         if not self.agrees(now):
-            self._plan(Step.READ, now + SETTLE_NS + int(self._rng.random() * self._read_pause_most()))
-        elif step is Step.BEACON:
-            self._plan_beacon(now)
+            self._schedule(
+                Purpose.READ,
+                now + BEACON_SETTLE_NS + int(self._rng.random() * self._read_interval()),
+            )
+        elif purpose is Purpose.BEACON:
+            self._schedule_beacon(now)
         else:
-            self._plan_first_beacon(now)
-
-    def _plan_first_beacon(self, now: int) -> None:
-        """Soon after agreement, as others may wait for a beacon; some renew a presence count before."""
-        self._beacon_at = now + int(self._rng.random() * min(FIRST_BEACON_NS, self._beacon_pause_most()))
-        self._renew_or_wait(self._rng.random() * self._gateways < FIRST_RENEWALS, now)
+            self._schedule_first_beacon(now)
 
-    def _plan_beacon(self, now: int) -> None:
-        """The next beacon, the sooner the fewer others are met; some renew a presence count before."""
-        self._beacons += 1
-        pause = max(min(ALONE_NS, self._beacon_pause_most()), self._beacon_pause_most() >> self._unmet)
-        self._beacon_at = now + self._about(pause)
-        self._renew_or_wait(self._unmet == UNMET_MOST or self._beacons % BEACONS_TO_RENEWAL == 0, now)
+    def _schedule_first_beacon(self, now: int) -> None:
+        """Schedule a beacon soon after agreement, as others may wait; some renew a presence count first."""
+        self._next_beacon_ns = now + int(
+            self._rng.random() * min(MAX_FIRST_BEACON_NS, self._beacon_interval())
+        )
+        self._schedule_renewal_or_beacon(self._rng.random() * self._gateways < FIRST_AGREEMENT_RENEWALS, now)
+
+    def _schedule_beacon(self, now: int) -> None:
+        """Schedule the next beacon, sooner if others were not met; at times renew a presence count first."""
+        self._beacons_planned += 1
+        interval = max(
+            min(ALONE_INTERVAL_NS, self._beacon_interval()),
+            self._beacon_interval() >> self._solitary_beacons,
+        )
+        self._next_beacon_ns = now + self._jittered(interval)
+        self._schedule_renewal_or_beacon(
+            self._solitary_beacons == ALONE_AFTER_BEACONS or self._beacons_planned % BEACONS_PER_RENEWAL == 0,
+            now,
+        )
 
-    def _renew_or_wait(self, renews: bool, now: int) -> None:
+    def _schedule_renewal_or_beacon(self, renews: bool, now: int) -> None:
         if renews:
-            self._plan(Step.RENEW, now)
+            self._schedule(Purpose.RENEW, now)
         else:
-            self._plan(Step.BEACON, self._beacon_at)
+            self._schedule(Purpose.BEACON, self._next_beacon_ns)
 
-    def _plan(self, step: Step, at: int) -> None:
-        self._next, self.due_at_ns = step, at
+    def _schedule(self, purpose: Purpose, at: int) -> None:
+        self._next_purpose, self.due_at_ns = purpose, at
 
-    def _read_pause_most(self) -> int:
-        return max(READ_NS, self._gateways * READ_NS_EACH)
+    def _read_interval(self) -> int:
+        return max(READ_INTERVAL_NS, self._gateways * READ_INTERVAL_PER_GATEWAY_NS)
 
-    def _read_pause(self) -> int:
-        return self._about(self._read_pause_most())
+    def _jittered_read_interval(self) -> int:
+        return self._jittered(self._read_interval())
 
-    def _beacon_pause_most(self) -> int:
-        small = min(self._gateways * SECOND, BEACON_NS_MOST_SMALL)
-        large = min(self._gateways * BEACON_NS_EACH, BEACON_NS_MOST)
-        return max(small, large, self._gateways * BEACON_NS_EACH_HUGE)
+    def _beacon_interval(self) -> int:
+        small = min(self._gateways * SECOND, MAX_BEACON_INTERVAL_SMALL_NS)
+        large = min(self._gateways * BEACON_INTERVAL_PER_GATEWAY_NS, MAX_BEACON_INTERVAL_LARGE_NS)
+        return max(small, large, self._gateways * BEACON_INTERVAL_PER_GATEWAY_HUGE_NS)
 
-    def _about(self, pause_ns: int) -> int:
-        """A quarter less at the most, so that gateways do not stay in step."""
-        return int(pause_ns * (0.75 + 0.25 * self._rng.random()))
+    def _jittered(self, interval_ns: int) -> int:
+        """Shorten an interval by up to a quarter at random, so that gateways do not call in lockstep."""
+        return int(interval_ns * (0.75 + 0.25 * self._rng.random()))
 
 
-def _difference(stated_ns: int, time_ns: int) -> int:
-    """By how much a stated time is ahead of this one, both taken within a lap."""
+def _lap_difference(stated_ns: int, time_ns: int) -> int:
+    """By how much a stated time is ahead of another one, both taken modulo a lap: half a lap at the most."""
     return (stated_ns - time_ns + LAP_NS // 2) % LAP_NS - LAP_NS // 2
--- a/tests/test_clock_sync.py
+++ b/tests/test_clock_sync.py
@@ -12,15 +12,15 @@
 
 from gingerworks import interface
 from gingerworks.policy.clock_sync import (
-    AGREED_NS_LEAST,
-    BEACON,
-    BEACON_LIFE_NS,
+    BEACON_AMOUNT,
+    BEACON_LIFETIME_NS,
     BEACON_NAME,
+    BEACON_SETTLE_NS,
     LAP_NS,
+    MIN_AGREEMENT_NS,
     PRESENCE_NAMES,
-    SETTLE_NS,
     ClockSync,
-    Step,
+    Purpose,
 )
 from tests.support import MS, SECOND
 
@@ -172,10 +172,10 @@
     for _ in range(4):  # both have read no beacon and no presence count before either goes on
         for node in nodes:
             bench.step(node)
-    assert {node.sync._next for node in nodes} == {Step.LOCK}
+    assert {node.sync._next_purpose for node in nodes} == {Purpose.LOCK}
     for node in nodes:
         bench.step(node)
-    assert [node.sync._next for node in nodes] == [Step.CLAIM, Step.READ]
+    assert [node.sync._next_purpose for node in nodes] == [Purpose.SET_TIME, Purpose.READ]
     bench.step(nodes[0])
     assert [node.agrees(bench.now) for node in nodes] == [True, False]
     bench.run(10)
@@ -189,7 +189,9 @@
     newcomer = bench.add()
     bench.now += SECOND
     bench.bump(
-        interface.Count(BEACON_NAME, BEACON + (bench.now - 6 * SECOND) % LAP_NS // (100 * MS), BEACON_LIFE_NS)
+        interface.Count(
+            BEACON_NAME, BEACON_AMOUNT + (bench.now - 6 * SECOND) % LAP_NS // (100 * MS), BEACON_LIFETIME_NS
+        )
     )
     bench.step(newcomer)
     assert not newcomer.agrees(bench.now)
@@ -265,7 +267,7 @@
     bench.run(seconds - 1)
     bench.add(3 * SECOND)  # restarted meanwhile, with another clock
     bench.run(1)
-    assert all(node.agrees(bench.now) == (seconds * SECOND < AGREED_NS_LEAST) for node in bench.nodes[:3])
+    assert all(node.agrees(bench.now) == (seconds * SECOND < MIN_AGREEMENT_NS) for node in bench.nodes[:3])
     bench.away = False
     if emptied:
         bench.totals.clear()
@@ -328,4 +330,4 @@
         bench.add(gateways=5)
     bench.run(1000)
     assert all(node.time(bench.now) == bench.now % LAP_NS for node in bench.nodes)
-    assert SETTLE_NS > BEACON_LIFE_NS
+    assert BEACON_SETTLE_NS > BEACON_LIFETIME_NS
