--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -113,8 +113,8 @@
         self.arrived_at_ns, pending_before = arrival.earliest_ns, len(self.pending)
         try:
             self.parser.feed_data(self.owner.read_buffer[:nbytes])
-        except httptools.HttpParserCallbackError as fault:
-            cause = fault.__context__
+        except httptools.HttpParserCallbackError as error:
+            cause = error.__context__
             self._reject(cause if isinstance(cause, RequestRejected) else RequestRejected(400, "malformed"))
         except httptools.HttpParserError:
             self._reject(RequestRejected(400, "malformed"))
@@ -411,5 +411,5 @@
             return bool(self.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         except BlockingIOError:
             return False
-        except OSError as fault:
-            return fault.errno in RETRYABLE
+        except OSError as error:
+            return error.errno in RETRYABLE
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -87,9 +87,9 @@
         if self._listener is not None and not self._listener_watched:
             try:
                 self.loop.add_reader(self._listener.fileno(), self._listener_readable)
-            except OSError as fault:
+            except OSError as error:
                 # Most likely a passing shortage; without a retry nothing would ever be accepted again.
-                self._log_accept_error(fault.errno or 0)
+                self._log_accept_error(error.errno or 0)
                 self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
                 return
             self._listener_watched = True
@@ -115,10 +115,10 @@
                 sock, _peer = self._listener.accept()
             except BlockingIOError:
                 return True
-            except OSError as fault:
-                if fault.errno in CONNECTION_NOT_ACCEPTED:
+            except OSError as error:
+                if error.errno in CONNECTION_NOT_ACCEPTED:
                     continue  # only that connection is gone; others may wait behind it
-                return self._accept_failed(fault.errno or 0)
+                return self._accept_failed(error.errno or 0)
             self._last_accept_errno = 0
             self._add_client(sock)
         return False
@@ -330,5 +330,5 @@
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as fault:
-        log.info("could not set the options of a client socket: %s", describe_error(fault.errno or 0))
+    except OSError as error:
+        log.info("could not set the options of a client socket: %s", describe_error(error.errno or 0))
