--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -42,14 +42,14 @@
     "plans": "tariffs",
     "max_units": "specifics.max-units",
     "counter_wait_ns": "specifics.count-wait-ns",
-    "limits.attempts": "limits.attempts-cap",
+    "limits.max_attempts": "limits.attempts-cap",
     "limits.max_retry_after_ns": "limits.max-retry-after-ns",
-    "limits.connect_ns": "limits.connect-timeout-ns",
+    "limits.connect_timeout_ns": "limits.connect-timeout-ns",
     "rules.drain_grace_ns": "rules.drain-grace-ns",
     "rules.cold_ns": "rules.cold-ns",
     "rules.start_capacity": "rules.start-capacity",
     "rules.overload_factor": "rules.overload-factor",
-    "classes.window_ns": "classes.window-ns",
+    "classes.dedup_window_ns": "classes.window-ns",
     "classes.aim_ns": "classes.on-time-ns and hard-limit-ns",
     "plans.name": "tariffs.name",
     "plans.price": "tariffs.price",
@@ -174,14 +174,14 @@
             ask_every_ns=f.whole("rules.ask-every-ns", "0"),
         ),
         limits=interface.Limits(
-            attempts=f.whole("limits.attempts-cap"),
+            max_attempts=f.whole("limits.attempts-cap"),
             hedging=f.flag("limits.second-copies"),
             may_cancel=f.flag("limits.may-cancel"),
             probes=f.flag("limits.probes"),
-            retry_after=f.flag("limits.retry-after"),
+            may_send_retry_after=f.flag("limits.retry-after"),
             max_retry_after_ns=f.whole("limits.max-retry-after-ns", "0"),
             max_open=f.whole("limits.max-open", "0"),
-            connect_ns=f.whole("limits.connect-timeout-ns", "250000000"),
+            connect_timeout_ns=f.whole("limits.connect-timeout-ns", "250000000"),
         ),
     )
 
@@ -190,8 +190,8 @@
     return interface.RequestClass(
         name=f.text(at + "name"),
         effect=f.choice(at + "effect", EFFECTS),
-        group=f.choice(at + "dedup-scope", GROUPS, "cell"),
-        window_ns=f.whole(at + "window-ns", "0"),
+        dedup_group=f.choice(at + "dedup-scope", GROUPS, "cell"),
+        dedup_window_ns=f.whole(at + "window-ns", "0"),
         aim_ns=f.whole(at + "on-time-ns"),
         deadline_ns=f.whole(at + "hard-limit-ns"),
         worth=f.number(at + "worth"),
@@ -260,7 +260,7 @@
             elapsed_ns=f.whole("cost-time-ns", "0"),
             terminal=f.flag("terminal"),
             used_percent=used - 1 if used > 0 else None,
-            billed=billed if billed > 0 else None,
+            billed_units=billed if billed > 0 else None,
             report=f.report(),
         )
     if word == "LAPSED":
@@ -271,9 +271,9 @@
         return interface.Started(f.whole("op-id"), f.whole("go", "0"))
     if word == "ADDED":
         return interface.Counted(
-            count=f.whole("tally-id"),
+            name=f.whole("tally-id"),
             status=f.choice("status", STATUSES),
-            level=f.number("level", "0"),
+            total=f.number("level", "0"),
             elapsed_ns=f.whole("cost-time-ns", "0"),
         )
     return interface.Probed(
@@ -295,7 +295,7 @@
 
 
 def _count_line(action: interface.Count) -> str:
-    return f"POST_AMOUNT qty={action.amount:.7g} tally-id={action.count} keep-for-ns={action.keep_ns}"
+    return f"POST_AMOUNT qty={action.amount:.7g} tally-id={action.name} keep-for-ns={action.ttl_ns}"
 
 
 FORMATS: dict[type, Callable[[Any], str]] = {
