--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -1,7 +1,9 @@
-"""Types, events, actions and settings of the decision module; no decision is taken here.
+"""The interface of ``Policy``, which makes a gateway's decisions: its settings, events and actions.
 
-Times are whole nanoseconds of the caller's clock, which only advances.  Ids and names are opaque.
-A ``Policy`` is single-threaded: one call of ``handle`` at a time, one instance for each gateway.
+The caller passes events to ``Policy.handle`` and carries out the actions that it returns.  This module only
+defines the types; it makes no decision.  Times are whole nanoseconds of the caller's clock, which only
+advances.  Ids and names are opaque.  A ``Policy`` is single-threaded: one call of ``handle`` at a time, one
+instance for each gateway.
 """
 
 from __future__ import annotations
@@ -11,7 +13,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing, out of range or contradicts another; the text names it, as does ``setting``."""
+    """A setting is missing, out of range or contradicts another; the message and ``setting`` name it."""
 
     def __init__(self, text: str, setting: str = "") -> None:
         super().__init__(text)
@@ -19,15 +21,15 @@
 
 
 class Effect(Enum):
-    """What a repeated run of a request does."""
+    """What happens if a request runs more than once."""
 
     SAFE = "safe to repeat"
-    KEYED = "repeats are dropped within a group of servers, for a time"
+    KEYED = "repeats are dropped within a group of servers during a time window"
     UNSAFE = "must never run twice"
 
 
 class DedupGroup(Enum):
-    """The servers that drop each other's repeats of a keyed request."""
+    """The servers among which repeats of a keyed request are recognised and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,11 +41,11 @@
 
     DELIVERED = "served"
     ERROR = "the server failed; it may have run"
-    SHED = "turned away unseen"
+    SHED = "rejected before it ran"
     EXPIRED = "no answer in time; it may have run"
-    DIAL_FAILED = "no connection; it never ran"
+    DIAL_FAILED = "no connection was made; it never ran"
     DROPPED = "the connection broke; it may have run"
-    CANCELLED = "called off; it may have run"
+    CANCELLED = "cancelled; it may have run"
     UNUSED = "never sent"
 
     @property
@@ -53,7 +55,7 @@
 
 
 class Phase(Enum):
-    """State of a server in the list."""
+    """State of a server in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -61,87 +63,99 @@
 
 
 class ListMode(Enum):
-    """What a list event carries."""
+    """What a ``ServersChanged`` event contains."""
 
     DELTA = "changed entries only"
     FULL = "the whole list"
-    CACHED = "the whole list as last known, perhaps outdated"
-    FAILED = "a call or the subscription failed; the former list stands"
+    CACHED = "the whole list as last known, possibly outdated"
+    FAILED = "a call or the subscription failed; the previous list remains valid"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests.  ``late_worth`` and ``aim_stretch`` are not used by any decision."""
 
     name: str
     effect: Effect
-    dedup_group: DedupGroup
-    dedup_window_ns: int
-    aim_ns: int
+    dedup_group: DedupGroup  # for keyed requests: the servers that drop repeats of one another's requests
+    dedup_window_ns: int  # for keyed requests: how long after the first run repeats are dropped
+    aim_ns: int  # an answer within this time is worth the most
     deadline_ns: int
-    worth: float
+    worth: float  # of an answer; multiplied by the plan's price and the request's units
     late_worth: float
     aim_stretch: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One plan: the quota of each of its customers over all gateways together."""
+    """One plan: the quota of each of its customers over all gateways together.
+
+    The quota is a store of ``burst`` units that is refilled at ``rate`` units a second.  The ceiling is a
+    second store of this kind: a hard limit above the quota.  A rate of 0 means that there is no quota, or no
+    ceiling.  ``max_out`` is not used by any decision.
+    """
 
     name: str
     rate: float
     burst: float
     max_out: int
     price: float
-    excess_worth: float
-    overrun_cost: float
+    excess_worth: float  # worth of a request served beyond the quota, as a multiple of that within it
+    overrun_cost: float  # cost of a request served beyond the quota, as a multiple of the same
     ceiling_rate: float
     ceiling_burst: float
-    ceiling_slack: float
+    ceiling_slack: float  # units beyond the ceiling that are tolerated
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the operating rules."""
+    """Figures of the operating rules.
+
+    ``drain_grace_ns``, ``fall_ns`` and ``ask_every_ns`` are not used by any decision.
+    """
 
     drain_grace_ns: int
-    cold_ns: int
-    start_capacity: float
-    overload_factor: float
+    cold_ns: int  # how long after its start a server is cold, with a capacity that rises to the full one
+    start_capacity: float  # share of the full capacity that a server has at its start
+    overload_factor: float  # how many times its capacity a cold server may be sent
     fall_ns: int
     ask_every_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows."""
+    """What the deployment allows.  ``probes`` and ``max_open`` are not used by any decision."""
 
-    max_attempts: int
-    hedging: bool  # a request may have two attempts out
-    may_cancel: bool
+    max_attempts: int  # for each request
+    hedging: bool  # a request may have two attempts in flight
+    may_cancel: bool  # an attempt may be cancelled
     probes: bool
-    may_send_retry_after: bool
+    may_send_retry_after: bool  # a refusal may tell the client when to try again
     max_retry_after_ns: int
     max_open: int
-    connect_timeout_ns: int = 250_000_000  # as long as a connection may take to come up
+    connect_timeout_ns: int = 250_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
-
-    me: int
-    gateways: int
-    zone: str
-    tick_ns: int
-    discovery_on_request: bool
-    report_names: tuple[str, ...]
+    """Settings of a gateway, given at its start.
+
+    ``probe_reports``, ``counter_price``, ``meter_ns``, ``cost_after`` and the ``price_`` fields are not used
+    by any decision.
+    """
+
+    me: int  # index of this gateway
+    gateways: int  # how many there are
+    zone: str  # of this gateway
+    tick_ns: int  # resolution of the caller's timers
+    discovery_on_request: bool  # the server list comes only after a ``Watch`` action
+    report_names: tuple[str, ...]  # values to take from the load reports of servers
     probe_reports: bool
     has_counter: bool
-    counter_wait_ns: int
+    counter_wait_ns: int  # for an answer of the shared counter
     counter_price: float
     meter_ns: int
-    max_units: float
+    max_units: float  # of one request
     cost_after: bool
     price_probe: float
     price_cross_zone: float
@@ -153,15 +167,15 @@
     limits: Limits
 
     def __post_init__(self) -> None:
-        """Reject settings that contradict themselves, naming the setting."""
+        """Check the settings: ``SettingsError`` names the first one that is not allowed."""
         checks = (
             (self.gateways >= 1, "gateways"),
             (0 <= self.me < self.gateways, "me"),
             (self.tick_ns > 0, "tick_ns"),
             (bool(self.classes), "classes"),
             (bool(self.plans), "plans"),
-            (_named(self.classes), "classes.name"),
-            (_named(self.plans), "plans.name"),
+            (_has_unique_names(self.classes), "classes.name"),
+            (_has_unique_names(self.plans), "plans.name"),
             (self.max_units > 0, "max_units"),
             (self.limits.max_attempts >= 1, "limits.max_attempts"),
             (self.limits.max_retry_after_ns >= 0, "limits.max_retry_after_ns"),
@@ -180,15 +194,15 @@
             (all(p.rate == 0 or p.burst > 0 for p in self.plans), "plans.burst"),
             (all(p.ceiling_rate == 0 or p.ceiling_burst > 0 for p in self.plans), "plans.ceiling_burst"),
         )
-        for good, name in checks:
-            if not good:
+        for valid, name in checks:
+            if not valid:
                 raise SettingsError(f"setting {name} is out of range or contradicts another", name)
 
 
-def _named(of: tuple[RequestClass, ...] | tuple[Plan, ...]) -> bool:
-    """Whether each has a name of its own."""
-    names = {one.name for one in of}
-    return len(names) == len(of) and "" not in names
+def _has_unique_names(items: tuple[RequestClass, ...] | tuple[Plan, ...]) -> bool:
+    """Whether each item has a name, and no two have the same."""
+    names = {item.name for item in items}
+    return len(names) == len(items) and "" not in names
 
 
 @dataclass(frozen=True, slots=True)
@@ -198,14 +212,14 @@
     name: str
     phase: Phase
     zone: str = ""
-    cell: int = 0
-    started_ns: int = 0
-    size: float = 1.0
+    cell: int = 0  # group of servers within the zone
+    started_ns: int = 0  # 0 where it is not known
+    size: float = 1.0  # relative capacity; not used by any decision
 
 
 @dataclass(frozen=True, slots=True)
 class ServersChanged:
-    """The list of servers, or changes to it."""
+    """The server list or changes to it, as ``mode`` says."""
 
     mode: ListMode
     servers: tuple[Server, ...]
@@ -213,25 +227,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's try; exactly one final answer is owed before ``ttl_ns`` has passed.
+    """A request of a client; it must get exactly one final answer before ``ttl_ns`` has passed.
 
-    One that has no time left is refused.
-    An id seen before is a caller's fault and raises ``ValueError``, as does an unknown class or plan.
+    A request with no time left is refused.  An id that is already in flight, an unknown class and an unknown
+    plan are errors of the caller and raise ``ValueError``.
     """
 
     id: int
     class_name: str
     plan: str
     customer: str
-    entries: int
+    entries: int  # how many gateways this customer's requests are spread over
     ttl_ns: int
-    units: float
-    is_retry: bool = False
+    units: float  # that it takes from the quota
+    is_retry: bool = False  # of the client
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The answer of a streamed class has begun; deadlines no longer run.  Unknown ids: ignored."""
+    """The answer to a request has begun to stream, so its deadline no longer applies.
+
+    One for an unknown id is ignored.
+    """
 
     id: int
     attempt: int
@@ -239,42 +256,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended.  One for an attempt that is not out is ignored."""
+    """How an attempt ended.  One for an attempt that is not in flight is ignored.
+
+    ``used_percent`` and ``report`` are not used by any decision.
+    """
 
     id: int
     attempt: int
     status: Status
     elapsed_ns: int
-    terminal: bool
+    terminal: bool  # the request has its final answer by this outcome
     used_percent: float | None = None
-    billed_units: float | None = None
-    report: tuple[tuple[str, float], ...] = ()
+    billed_units: float | None = None  # in place of ``Request.units``, where the server says so
+    report: tuple[tuple[str, float], ...] = ()  # the server's load report: names and values
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client has left; nothing more is owed.  Unknown ids: ignored."""
+    """The client has left, so the request needs no answer any more.  One for an unknown id is ignored."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The gateway shuts down: each request, open or still to come, is answered by ``answers_due_ns``."""
+    """The gateway shuts down: all requests, in flight or new, must be answered by ``answers_due_ns``."""
 
     answers_due_ns: int
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer set by ``Wake`` is due.  One not asked for only makes the module look at its agenda."""
+    """A timer set by ``Wake`` has expired.  A timer that was not requested is harmless."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """Result of a probe.  Servers never listed are ignored."""
+    """Result of a ``Probe``.  It is ignored, as no probes are requested now."""
 
     server: str
     status: Status
@@ -284,11 +304,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """Answer to one counter call; each call gets one.  Names with no call out are ignored."""
+    """Answer to one ``Count``; each gets exactly one.  One for a name without a call in flight is ignored."""
 
     name: int
     status: Status
-    total: float
+    total: float  # after the amount was added; 0 without an answer
     elapsed_ns: int
 
 
@@ -307,7 +327,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assign:
-    """Begin an attempt; those of a request are numbered 0, 1, 2 ... in order."""
+    """Begin an attempt on a server; the attempts of a request are numbered 0, 1, 2 ... in this order."""
 
     id: int
     server: str
@@ -316,7 +336,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt; its outcome still comes."""
+    """Cancel an attempt; its ``Outcome`` is still expected."""
 
     id: int
     attempt: int
@@ -324,7 +344,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decline:
-    """Final answer: refused; the client may safely try again."""
+    """Final answer: refused.  It is safe for the client to try again."""
 
     id: int
     retry_after_ns: int
@@ -332,14 +352,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise."""
+    """Final answer: failed.  The request may have run or not."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Wake:
-    """Ask for a ``Timer`` event after this time."""
+    """Request a ``Timer`` event after this time."""
 
     after_ns: int
     token: int
@@ -347,28 +367,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check a server."""
+    """Probe a server; a ``Probed`` event brings the result."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add to a named number of the shared counter and be told the total."""
+    """Add an amount to a shared count; a ``Counted`` event brings the total."""
 
     name: int
-    amount: float
-    ttl_ns: int
+    amount: float  # 0 only reads
+    ttl_ns: int  # lifetime of the count, if this call creates it
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to changes of the server list."""
+    """Subscribe to changes to the server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the staff."""
+    """A log line for the operator."""
 
     text: str
 
