--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Tables over a long day: what is keyed by a customer, server, request or connection does not pile up."""
+"""Memory bounds: tables keyed by customer, server, request or connection do not grow over time."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from tests.support import listing as listed
 
 HOUR_S = 3600
-EVERY_MS = 250  # four requests a second, as one gateway of a large fleet sees
+PERIOD_MS = 250  # between requests: four a second, as at one gateway of a large fleet
 
 
 def answers(actions: list[interface.Action], statuses: list[interface.Status]) -> list[interface.Event]:
-    """An outcome for each attempt, in turn one of these, and no answer in time for each call."""
+    """An outcome for each attempt, in turn one of these statuses, and a time-out for each counter call."""
     events: list[interface.Event] = []
     for action in actions:
         if isinstance(action, interface.Assign):
@@ -32,18 +32,18 @@
     return events
 
 
-def sizes(policy: Policy) -> dict[str, int]:
-    """How much the module holds of each kind."""
+def table_sizes(policy: Policy) -> dict[str, int]:
+    """The sizes of the policy's tables."""
     return {
         "customers": len(policy.quotas.customers),
         "calls": len(policy.quotas.calls),
         "servers": len(policy.servers.backends),
         "requests": len(policy.in_flight),
-        "plans ahead": len(policy.scheduled),
+        "scheduled": len(policy.scheduled),
     }
 
 
-def test_an_hour_of_new_customers_and_servers_leaves_the_modules_tables_flat() -> None:
+def test_the_tables_of_a_policy_do_not_grow_over_an_hour_of_new_customers_and_servers() -> None:
     policy = policy_with_servers(server("s0"), server("s1"))
     statuses = [
         interface.Status.DELIVERED,
@@ -54,10 +54,10 @@
     ]
     most: dict[str, int] = {}
     quarters: list[dict[str, int]] = []
-    for n in range(HOUR_S * 1000 // EVERY_MS):
-        now = (n + 1) * EVERY_MS * MS
-        plan, kind = ("free", "small", "capped")[n % 3], ("look", "put", "post")[n // 3 % 3]
-        events: list[interface.Event] = [request(n, class_name=kind, plan=plan, customer=f"new{n}")]
+    for n in range(HOUR_S * 1000 // PERIOD_MS):
+        now = (n + 1) * PERIOD_MS * MS
+        plan, class_name = ("free", "small", "capped")[n % 3], ("look", "put", "post")[n // 3 % 3]
+        events: list[interface.Event] = [request(n, class_name=class_name, plan=plan, customer=f"new{n}")]
         if n % 40 == 0:  # one server is replaced every ten seconds
             gone = server(f"s{n // 40}", phase=interface.Phase.GONE)
             come = server(f"s{n // 40 + 2}", started_ns=now)
@@ -65,19 +65,19 @@
         replies = answers(policy.handle(now, events), statuses)
         while replies:
             replies = answers(policy.handle(now + 80 * MS, replies), statuses)
-        for name, size in sizes(policy).items():
+        for name, size in table_sizes(policy).items():
             most[name] = max(most.get(name, 0), size)
-        if (n + 1) % (HOUR_S * 1000 // EVERY_MS // 4) == 0:
+        if (n + 1) % (HOUR_S * 1000 // PERIOD_MS // 4) == 0:
             quarters.append(most)
             most = {}
-    assert quarters[0]["customers"] > 20  # the day does fill the tables
+    assert quarters[0]["customers"] > 20  # the traffic does fill the tables
     assert all(size <= 1.2 * quarters[0][name] + 5 for last in quarters[1:] for name, size in last.items())
     assert quarters[-1]["customers"] <= 400
-    assert quarters[-1]["plans ahead"] <= 400
+    assert quarters[-1]["scheduled"] <= 400
     assert quarters[-1]["servers"] <= 3
 
 
-def test_replaced_servers_and_clients_that_leave_take_their_connections_along() -> None:
+def test_connections_of_replaced_servers_and_of_clients_that_left_are_closed() -> None:
     async def scenario() -> None:
         made = gateway()
         peers = [await answering(OK) for _ in range(6)]
@@ -102,11 +102,11 @@
 
 
 def backend_list(index: int, address: tuple[str, int]) -> Change:
-    """The whole list: this server, the former ones have gone."""
+    """A whole server list of this server alone; earlier ones are gone."""
     return change_from(listing(entry(f"s{index}", address), index=index))
 
 
-def test_ids_seen_long_ago_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_old_request_ids_are_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     now = [0]
     monkeypatch.setattr("gingerworks.gateway.clock.now", lambda: now[0])
 
@@ -116,4 +116,4 @@
         now[0] = n * 100 * MS
         validator._remember_id(b"%016x" % n)
         most = max(most, len(validator._recent_ids) + len(validator._older_ids))
-    assert 40 <= most <= 2 * 40 + 2  # ten a second, for the longest deadline of 4 s and at most as long again
+    assert 40 <= most <= 2 * 40 + 2  # ten a second, remembered for 4 s, the longest deadline, to 8 s
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: what raises it, what does not, and whom it refuses first."""
+"""Load shedding: what raises the load ratio, what does not, and which requests are refused first."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def drive(policy: Policy, first: int, count: int, status: interface.Status, elapsed: int) -> int:
-    """One request after another, each ending the same way; how many were refused at once."""
+    """Send one request after another, each ending the same way; returns how many were refused at once."""
     refused = 0
     for n in range(first, first + count):
         now = n * 100 * MS
@@ -25,15 +25,15 @@
     return refused
 
 
-def test_slow_answers_press_and_quick_ones_relieve() -> None:
+def test_quick_answers_lower_the_load_ratio_and_shed_nothing() -> None:
     policy = policy_with_servers()
     assert drive(policy, 0, 60, interface.Status.DELIVERED, 50 * MS) == 0
     assert drive(policy, 100, 60, interface.Status.DELIVERED, 50 * MS) == 0
     assert policy.shedder.load_ratio(policy.now) < 1.0
 
 
-def test_attempts_that_never_left_hide_no_overload() -> None:
-    # Each counted as an answer that had taken no time: a shortage of this host let through what overloads.
+def test_attempts_that_were_never_sent_do_not_change_the_load_ratio() -> None:
+    # They once counted as answers that took no time: a shortage on the gateway's host then hid an overload.
     policy = policy_with_servers()
     # Overloaded, but not so far that any request is refused.
     policy.shedder.time_in_flight_ns = 0.05 * policy.shedder.prior_ns
@@ -45,7 +45,7 @@
     assert policy.shedder.load_ratio(policy.now) == before
 
 
-def test_attempts_that_stay_out_press_before_they_are_answered() -> None:
+def test_unanswered_attempts_raise_the_load_ratio_before_their_answers() -> None:
     policy = policy_with_servers()
     for n in range(40):
         policy.handle(n * 20 * MS, [request(n)])
@@ -60,13 +60,14 @@
     assert policy.shedder.load_ratio(60 * SECOND) == pytest.approx(1.0, abs=0.01)
 
 
-def test_broken_connections_are_no_sign_of_load() -> None:
-    # Incident ia46623: resets on all servers shut out three quarters of the traffic.
+def test_broken_connections_shed_nothing() -> None:
+    # Incident ia46623: connection resets on all servers made the gateways refuse three quarters of the
+    # traffic.
     policy = policy_with_servers()
     assert drive(policy, 0, 80, interface.Status.DROPPED, 20 * MS) == 0
 
 
-def test_an_answer_lost_in_silence_stops_counting_as_load_once_overdue() -> None:
+def test_an_overdue_attempt_stops_counting_as_load() -> None:
     policy = policy_with_servers()
     drive(policy, 0, 30, interface.Status.DELIVERED, 50 * MS)
     policy.handle(10 * SECOND, [request(900, class_name="post")])
@@ -76,34 +77,34 @@
     assert policy.shedder.attempts_in_flight == 0
 
 
-def test_the_least_worth_is_refused_first() -> None:
+def test_requests_of_least_worth_are_refused_first() -> None:
     policy = policy_with_servers()
     look, post = policy.request_classes["look"], policy.request_classes["post"]
     plan = policy.quotas.plans["free"]
     for _ in range(50):
         policy.shedder.pass_probability(look, plan, 1.0, 1.0, 0)
         policy.shedder.pass_probability(post, plan, 1.0, 1.0, 0)
-    policy.shedder.time_in_flight_ns = policy.shedder.prior_ns  # twice what is allowed
+    policy.shedder.time_in_flight_ns = policy.shedder.prior_ns  # a load ratio of 2
     cheap = policy.shedder.pass_probability(look, plan, 1.0, 1.0, 0)
     dear = policy.shedder.pass_probability(post, plan, 1.0, 1.0, 0)
     assert cheap < 0.01 < dear < 1.0
 
 
-def test_a_few_short_answers_do_not_set_the_target() -> None:
-    # A quiet day was refused by half: the first answers had been short, and the target with them.
+def test_a_few_short_answers_do_not_lower_the_target_for_long() -> None:
+    # Short first answers once set the target too low, and half of the requests of a quiet day were refused.
     policy = policy_with_servers()
     drive(policy, 0, 8, interface.Status.DELIVERED, 20 * MS)
     drive(policy, 10, 400, interface.Status.DELIVERED, 200 * MS)
     assert policy.servers.target_answer_ns(policy.request_classes["post"]) > 180 * MS
 
 
-def test_the_target_stays_within_half_the_aim() -> None:
+def test_the_target_is_at_most_half_the_aim() -> None:
     policy = policy_with_servers()
     drive(policy, 0, 300, interface.Status.DELIVERED, 2 * SECOND)
     assert policy.servers.target_answer_ns(policy.request_classes["post"]) <= SECOND / 2
 
 
-def test_chance_at_a_gateway_of_few_requests_sheds_nothing() -> None:
+def test_random_variation_at_a_gateway_with_few_requests_sheds_next_to_nothing() -> None:
     # In a fleet of forty each gateway has eight requests a second, whose work varies by as much as its mean.
     rng, policy, refused = random.Random(3), policy_with_servers(), 0
     ends: list[tuple[int, int, int]] = []
@@ -117,10 +118,10 @@
         if "Assign" in actions:
             elapsed = min(int(rng.expovariate(1 / (160 * MS))), 400 * MS)
             heapq.heappush(ends, (now + elapsed, n, elapsed))
-    assert refused <= 16  # once every eighth
+    assert refused <= 16  # every eighth was refused once
 
 
-def test_one_attempt_turned_away_does_not_refuse_the_next_request() -> None:
+def test_one_attempt_refused_by_a_server_sheds_no_request() -> None:
     policy = policy_with_servers()
     policy.handle(0, [request(1)])
     policy.handle(MS, [outcome(1, 0, interface.Status.SHED)])
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -104,8 +104,8 @@
 
 
 def test_a_fleet_of_cold_servers_gets_only_its_part_of_capacity_from_new_gateways() -> None:
-    # All twelve servers are cold.  Gateways without answers assume that the load is what the servers could bear
-    # if they were warm, so the servers get the part of it that they have of their capacity, not all of it.
+    # All twelve servers are cold.  Gateways without answers assume that the load is what the servers could
+    # bear if they were warm, so the servers get their part of capacity of it, not all.
     gateways, requests, total = 200, 4, 0
     for me in range(gateways):
         policy = cold_gateway(me, *(server(f"cold{n}", started_ns=1) for n in range(12)))
