--- a/gingerworks/gateway/client_table.py
+++ b/gingerworks/gateway/client_table.py
@@ -79,7 +79,7 @@
 
         So hundreds of clients that connect and send nothing, or don't close after a rejection, can't keep out
         those that send requests.  While silent new connections fill half of the table, the idle ones are
-        spared and the grace of the new ones is waited for.  With fewer that would not be right: each newcomer
+        spared and the grace of the new ones is waited for.  With fewer that would not be right: each new one
         would delay all clients in the backlog by its grace.
         """
         if self.evicted:
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -3,8 +3,8 @@
 ``Frontend`` accepts connections, up to a budget, and owns them: each ``ClientConnection`` reads and answers
 HTTP, and calls back here with its requests and its changes of state.  Requests are validated and passed to
 the runtime, which sends each final answer to the connection.  With the budget used up, or out of descriptors,
-it closes connections that matter least (``ClientTable.make_room``) and leaves newcomers in the listen backlog
-meanwhile.  On SIGTERM it goes on accepting for a while, answers every request that arrives, and sets
+it closes connections that matter least (``ClientTable.make_room``) and leaves new connections in the listen
+backlog meanwhile.  On SIGTERM it goes on accepting for a while, answers every request that arrives, and sets
 ``finished`` once no connection is left or the time until SIGKILL has run out (see ``shutdown.py``).
 """
 
@@ -254,7 +254,7 @@
         self.loop.call_later(delay_ns / clock.NS_PER_S, callback)
 
     def _close_listener(self) -> None:
-        """Close the listener once new connections have ceased and nobody waits in the backlog."""
+        """Close the listener once no new connections are expected and the backlog is empty."""
         if self._listener is None:
             return
         wait_ns = self._shutdown.accept_remaining_ns(clock.now())
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -55,53 +55,53 @@
 Disconnect = Callable[[Client], None]
 
 
-async def request_dropped(made: Gateway) -> None:
+async def request_dropped(gw: Gateway) -> None:
     """Wait until the gateway has noticed the disconnect and keeps nothing of the request."""
-    await until(lambda: not made.frontend.clients.open)
-    await until(lambda: not made.runtime._in_flight and not made.runtime._policy.in_flight)
+    await until(lambda: not gw.frontend.clients.open)
+    await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
 
 
 def hold_connects(monkeypatch: pytest.MonkeyPatch) -> list[Callable[[], None]]:
     """Hold connections to servers while they open; the test calls the functions of this list to go on."""
-    held: list[Callable[[], None]] = []
+    held_connects: list[Callable[[], None]] = []
 
-    class Held(Dial):
+    class HeldDial(Dial):
         """A connect whose completion the test triggers."""
 
         def _on_writable(self) -> None:
             self._loop.remove_writer(self._socket.fileno())
-            held.append(super()._on_writable)
+            held_connects.append(super()._on_writable)
 
-    monkeypatch.setattr(backend, "Dial", Held)
-    return held
+    monkeypatch.setattr(backend, "Dial", HeldDial)
+    return held_connects
 
 
 @disconnects
-def test_while_the_request_waits_for_the_counter(disconnect: Disconnect) -> None:
+def test_disconnect_while_the_counter_is_asked_prevents_the_attempt(disconnect: Disconnect) -> None:
     async def scenario() -> None:
-        asked, release = asyncio.Event(), asyncio.Event()
+        called, release = asyncio.Event(), asyncio.Event()
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             line = await reader.readline()
-            asked.set()
+            called.set()
             await release.wait()
             writer.write(b"ok %b\r\n" % line.split()[2])
             await reader.read()
 
         counter, server = await Peer(script).start(), await answering(OK)
-        family = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 20_000_000_000}
-        made = gateway(
+        specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 20_000_000_000}
+        gw = gateway(
             server.address,
-            settings=SETTINGS | {"specifics": family},
+            settings=SETTINGS | {"specifics": specifics},
             counter=f"{counter.address[0]}:{counter.address[1]}",
         )
-        client = await Client.to(made)
+        client = await Client.to(gw)
         client.writer.write(ask(X_Contract="small", X_Metering="units=6,spread=3,first=1"))
-        await asked.wait()
+        await called.wait()
         disconnect(client)
-        await until(lambda: not made.frontend.clients.open)
+        await until(lambda: not gw.frontend.clients.open)
         release.set()
-        await request_dropped(made)
+        await request_dropped(gw)
         assert server.connections == 0
 
     run(scenario())
@@ -109,196 +109,194 @@
 
 @disconnects
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_while_the_connection_to_the_server_opens(
+def test_disconnect_while_the_server_connection_opens_prevents_the_attempt(
     disconnect: Disconnect, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held = hold_connects(monkeypatch)
+    held_connects = hold_connects(monkeypatch)
 
     async def scenario() -> None:
         server = await answering(OK)
         limits = SETTINGS["limits"] | {"may-cancel": may_cancel}
-        made = gateway(server.address, settings=SETTINGS | {"limits": limits})
-        client = await Client.to(made)
+        gw = gateway(server.address, settings=SETTINGS | {"limits": limits})
+        client = await Client.to(gw)
         client.writer.write(ask("post"))
-        await until(lambda: bool(held))
+        await until(lambda: bool(held_connects))
         disconnect(client)
-        await until(lambda: not made.frontend.clients.open)
+        await until(lambda: not gw.frontend.clients.open)
         await asyncio.sleep(0)
-        if made.backends._open:  # not cancelled: it opens, and the attempt must not start
-            held[0]()
-        await request_dropped(made)
+        if gw.backends._open:  # not cancelled: it opens, and the attempt must not start
+            held_connects[0]()
+        await request_dropped(gw)
         assert server.requests == []
 
     run(scenario())
 
 
 @disconnects
-def test_between_two_attempts(disconnect: Disconnect) -> None:
+def test_disconnect_between_two_attempts_prevents_the_second(disconnect: Disconnect) -> None:
     # The attempt's outcome and the disconnect are read in one turn of the loop, in either order.
     async def scenario() -> None:
-        first_asked, release = asyncio.Event(), asyncio.Event()
+        first_sent, release = asyncio.Event(), asyncio.Event()
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             peer.requests.append(await reader.readuntil(b"\r\n\r\n"))
-            first_asked.set()
+            first_sent.set()
             await release.wait()
             writer.write(NOT_RUN)
             await reader.read()
 
         server = await Peer(script).start()
-        made = gateway(server.address, server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address, server.address)
+        client = await Client.to(gw)
         client.writer.write(ask("post"))
-        await first_asked.wait()
+        await first_sent.wait()
         release.set()
         disconnect(client)
-        await request_dropped(made)
+        await request_dropped(gw)
         assert len(server.requests) == 1
 
     run(scenario())
 
 
 @disconnects
-def test_in_the_loop_turn_in_which_the_request_is_submitted(
+def test_disconnect_in_the_turn_of_the_submission_prevents_the_attempt(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
-        submit: Any = made.runtime.submit
+        gw = gateway(server.address)
+        client = await Client.to(gw)
+        submit: Any = gw.runtime.submit
 
         def submit_and_cancel(*arguments: Any) -> int:
             number: int = submit(*arguments)
-            made.runtime.cancel_request(number)  # the decision module gets both events in one turn
+            gw.runtime.cancel_request(number)  # the decision module gets both events in one turn
             return number
 
-        monkeypatch.setattr(made.runtime, "submit", submit_and_cancel)
+        monkeypatch.setattr(gw.runtime, "submit", submit_and_cancel)
         client.writer.write(ask("post"))
-        await until(lambda: made.runtime._last_request_id == 1 and not made.runtime._in_flight)
+        await until(lambda: gw.runtime._last_request_id == 1 and not gw.runtime._in_flight)
         disconnect(client)
-        await request_dropped(made)
+        await request_dropped(gw)
         assert server.requests == []
 
     run(scenario())
 
 
 @disconnects
-def test_while_an_attempt_is_in_flight(disconnect: Disconnect) -> None:
+def test_disconnect_during_an_attempt_closes_the_server_connection(disconnect: Disconnect) -> None:
     async def scenario() -> None:
         server = await silent()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask("post"))
         await until(lambda: len(server.requests) == 1)
         disconnect(client)
-        await request_dropped(made)
+        await request_dropped(gw)
         await until(lambda: server.requests[1:] == [b""])
 
     run(scenario())
 
 
 @disconnects
-def test_while_reading_is_paused_for_pipelined_requests(
+def test_disconnect_is_noticed_while_reading_is_paused(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A paused connection doesn't report its end: the requests read ahead used to be sent to servers one by
-    # one.
+    # A paused connection doesn't report its end: pipelined requests used to be sent to servers one by one.
     monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
         server = await silent()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(b"".join(ask("post") for _ in range(8)))
         await until(
-            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+            lambda: any(c.reading_paused for c in gw.frontend.clients.open) and len(server.requests) == 1
         )
         disconnect(client)
-        await request_dropped(made)
+        await request_dropped(gw)
         await until(lambda: server.requests[1:] == [b""])
 
     run(scenario())
 
 
 @disconnects
-def test_before_the_next_pipelined_request_is_handled(
+def test_disconnect_prevents_the_next_pipelined_request(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 1e6)
 
     async def scenario() -> None:
         server, release = await held_server()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(b"".join(ask("post") for _ in range(8)))
         await until(
-            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+            lambda: any(c.reading_paused for c in gw.frontend.clients.open) and len(server.requests) == 1
         )
         disconnect(client)
-        (connection,) = made.frontend.clients.open
+        (connection,) = gw.frontend.clients.open
         await until(connection.has_abandoned_request)
         release.set()
-        await request_dropped(made)
+        await request_dropped(gw)
         assert len(server.requests) == 1
 
     run(scenario())
 
 
 @disconnects
-def test_while_the_request_waits_in_the_backlog(disconnect: Disconnect) -> None:
+def test_disconnect_in_the_backlog_prevents_the_attempt(disconnect: Disconnect) -> None:
     # At the first read the request and the disconnect are both there, but the latter is read a turn later.
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        made.frontend._unwatch_listener()
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        gw.frontend._unwatch_listener()
+        client = await Client.to(gw)
         client.writer.write(ask("post"))
         disconnect(client)
         await asyncio.sleep(0.01)
-        made.frontend._watch_listener()
-        await until(lambda: made.runtime._last_request_id == 1 or disconnect is reset)
-        await request_dropped(made)
+        gw.frontend._watch_listener()
+        await until(lambda: gw.runtime._last_request_id == 1 or disconnect is reset)
+        await request_dropped(gw)
         assert server.connections == 0
-        assert not made.backends._open
+        assert not gw.backends._open
 
     run(scenario())
 
 
 @disconnects
-def test_in_the_loop_turn_in_which_the_connection_to_the_server_opens(
+def test_disconnect_in_the_turn_in_which_the_server_connection_opens_prevents_the_attempt(
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held = hold_connects(monkeypatch)
+    held_connects = hold_connects(monkeypatch)
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        sock = socket.create_connection(made.frontend.address)
+        gw = gateway(server.address)
+        sock = socket.create_connection(gw.frontend.address)
         client = Client(*await asyncio.open_connection(sock=sock))
         client.writer.write(ask("post"))
-        await until(lambda: bool(held))
-        (connection,) = made.frontend.clients.open
+        await until(lambda: bool(held_connects))
+        (connection,) = gw.frontend.clients.open
         assert connection.transport is not None
         connection.transport.pause_reading()  # the disconnect stays unread, as in a turn with much other work
         disconnect(client)
         await asyncio.sleep(0.01)
-        held[0]()
+        held_connects[0]()
         connection.transport.resume_reading()
-        await request_dropped(made)
+        await request_dropped(gw)
         assert server.requests == []
-        assert not made.backends._open
+        assert not gw.backends._open
 
     run(scenario())
 
 
 @disconnects
-@pytest.mark.parametrize("ahead", [b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n" * 8, b"\x00\r\n\r\n"])
-def test_before_a_retry_while_reading_is_paused(
-    disconnect: Disconnect, ahead: bytes, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("pipelined", [b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n" * 8, b"\x00\r\n\r\n"])
+def test_disconnect_while_reading_is_paused_prevents_a_retry(
+    disconnect: Disconnect, pipelined: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Pipelined input, valid or not, stops the reading; the attempt's outcome comes before the next timeout
-    # check.
+    # Pipelined input, valid or not, stops the reading.  The outcome comes before the next timeout check.
     async def scenario() -> None:
         release = asyncio.Event()
 
@@ -310,41 +308,41 @@
 
         monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.1)
         server = await Peer(script).start()
-        made = gateway(server.address, server.address)
-        checked: Any = made.frontend._check_timeouts
-        monkeypatch.setattr(made.frontend, "_check_timeouts", lambda: None)
-        client = await Client.to(made)
-        client.writer.write(ask("post") + ahead)
+        gw = gateway(server.address, server.address)
+        check_timeouts: Any = gw.frontend._check_timeouts
+        monkeypatch.setattr(gw.frontend, "_check_timeouts", lambda: None)
+        client = await Client.to(gw)
+        client.writer.write(ask("post") + pipelined)
         await until(
-            lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
+            lambda: any(c.reading_paused for c in gw.frontend.clients.open) and len(server.requests) == 1
         )
         disconnect(client)
         await asyncio.sleep(0.01)
         release.set()
-        await until(lambda: not made.runtime._in_flight and not made.runtime._policy.in_flight)
+        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         assert len(server.requests) == 1
-        checked()
-        await request_dropped(made)
+        check_timeouts()
+        await request_dropped(gw)
 
     run(scenario())
 
 
 async def held_counter() -> tuple[Peer, asyncio.Event, asyncio.Event]:
     """A counter, an event that its first call sets, and one that releases its answers."""
-    asked, release = asyncio.Event(), asyncio.Event()
+    called, release = asyncio.Event(), asyncio.Event()
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
         while line := await reader.readline():
-            asked.set()
+            called.set()
             await release.wait()
             writer.write(b"ok %b\r\n" % line.split()[2])
 
-    return await Peer(script).start(), asked, release
+    return await Peer(script).start(), called, release
 
 
-def pause_all_reading(made: Gateway) -> list[ClientConnection]:
+def pause_all_reading(gw: Gateway) -> list[ClientConnection]:
     """Leave unread what the clients do next, as in a loop turn with much other work."""
-    for connection in (connections := list(made.frontend.clients.open)):
+    for connection in (connections := list(gw.frontend.clients.open)):
         assert connection.transport is not None
         connection.transport.pause_reading()
     return connections
@@ -357,38 +355,38 @@
 
 
 @disconnects
-@pytest.mark.parametrize("ending", [False, True])
-def test_unread_while_one_counter_answer_admits_several_requests(
-    disconnect: Disconnect, ending: bool
+@pytest.mark.parametrize("shutting_down", [False, True])
+def test_unread_disconnects_of_requests_admitted_together_prevent_all_attempts(
+    disconnect: Disconnect, shutting_down: bool
 ) -> None:
     # One counter answer admits several requests, while the disconnects of all their clients are unread.
     async def scenario() -> None:
-        (counter, asked, release), server = await held_counter(), await answering(OK)
-        family = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 20_000_000_000}
+        (counter, called, release), server = await held_counter(), await answering(OK)
+        specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 20_000_000_000}
         tariffs = [SETTINGS["tariffs"][0], SETTINGS["tariffs"][1] | {"most-at-once": 60.0}]
-        made = gateway(
+        gw = gateway(
             server.address,
-            settings=SETTINGS | {"peers-total": 30, "specifics": family, "tariffs": tariffs},
+            settings=SETTINGS | {"peers-total": 30, "specifics": specifics, "tariffs": tariffs},
             counter=f"{counter.address[0]}:{counter.address[1]}",
         )
-        clients = [await Client.to(made) for _ in range(8)]
+        clients = [await Client.to(gw) for _ in range(8)]
         for client in clients:
             client.writer.write(ask(X_Contract="small", X_Metering="units=6,spread=30,first=1"))
-        await asked.wait()
-        await until(lambda: len(made.runtime._in_flight) == len(clients))
-        if ending:
-            made.frontend.begin_shutdown()
-        connections = pause_all_reading(made)
+        await called.wait()
+        await until(lambda: len(gw.runtime._in_flight) == len(clients))
+        if shutting_down:
+            gw.frontend.begin_shutdown()
+        connections = pause_all_reading(gw)
         for client in clients:
             disconnect(client)
         release.set()
-        await until(lambda: not made.runtime._in_flight and not made.runtime._policy.in_flight)
+        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         resume_all_reading(connections)
-        await request_dropped(made)
+        await request_dropped(gw)
         assert server.connections == 0
-        assert not made.backends._open
-        if ending:
-            await made.ended()
+        assert not gw.backends._open
+        if shutting_down:
+            await gw.ended()
 
     run(scenario())
 
@@ -396,8 +394,8 @@
 class BlockingClient:
     """A client on a blocking socket: each call has taken effect when it returns."""
 
-    def __init__(self, made: Gateway, request: bytes) -> None:
-        self.socket = socket.create_connection(made.frontend.address)
+    def __init__(self, gw: Gateway, request: bytes) -> None:
+        self.socket = socket.create_connection(gw.frontend.address)
         self.socket.sendall(request)
 
     def close(self) -> None:
@@ -417,52 +415,54 @@
 
 
 @immediate_disconnects
-def test_just_before_the_first_attempt_starts(disconnect: Callable[[BlockingClient], None]) -> None:
+def test_disconnect_just_before_the_first_attempt_prevents_it(
+    disconnect: Callable[[BlockingClient], None],
+) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = BlockingClient(made, ask("post"))
-        assign = made.runtime._action_handlers[interface.Assign]
+        gw = gateway(server.address)
+        client = BlockingClient(gw, ask("post"))
+        assign = gw.runtime._action_handlers[interface.Assign]
 
         def disconnect_first(action: interface.Assign) -> None:
             disconnect(client)  # in the same loop turn as the attempt
             assign(action)
 
-        made.runtime._action_handlers[interface.Assign] = disconnect_first
-        await until(lambda: made.runtime._last_request_id == 1)
-        await request_dropped(made)
+        gw.runtime._action_handlers[interface.Assign] = disconnect_first
+        await until(lambda: gw.runtime._last_request_id == 1)
+        await request_dropped(gw)
         assert server.connections == 0
 
     run(scenario())
 
 
 @immediate_disconnects
-def test_just_before_a_retry_starts(
+def test_disconnect_just_before_a_retry_prevents_it(
     disconnect: Callable[[BlockingClient], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         server = await answering(NOT_RUN)
-        made = gateway(server.address, server.address)
-        clients = [BlockingClient(made, ask("post"))]
-        ended: Any = made.runtime._attempt_ended
+        gw = gateway(server.address, server.address)
+        clients = [BlockingClient(gw, ask("post"))]
+        ended: Any = gw.runtime._attempt_ended
 
         def disconnect_first(*arguments: Any) -> None:
             if clients:
                 disconnect(clients.pop())
             ended(*arguments)
 
-        monkeypatch.setattr(made.runtime, "_attempt_ended", disconnect_first)
-        await until(lambda: made.runtime._last_request_id == 1)
-        await request_dropped(made)
+        monkeypatch.setattr(gw.runtime, "_attempt_ended", disconnect_first)
+        await until(lambda: gw.runtime._last_request_id == 1)
+        await request_dropped(gw)
         assert len(server.requests) == 1
 
     run(scenario())
 
 
 @immediate_disconnects
-@pytest.mark.parametrize("ending", [False, True])
-def test_in_the_backlog_while_the_client_table_is_full(
-    disconnect: Callable[[BlockingClient], None], ending: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("shutting_down", [False, True])
+def test_disconnect_in_the_backlog_of_a_full_client_table_prevents_the_attempt(
+    disconnect: Callable[[BlockingClient], None], shutting_down: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(
         backend, "MIN_IDLE_BEFORE_REUSE_NS", 0
@@ -470,34 +470,33 @@
 
     async def scenario() -> None:
         server, release = await held_server()
-        made = gateway(server.address, limits={"sockets": 64})
-        clients_in_table = [await Client.to(made) for _ in range(made.frontend.clients.budget)]
+        gw = gateway(server.address, limits={"sockets": 64})
+        clients_in_table = [await Client.to(gw) for _ in range(gw.frontend.clients.budget)]
         for client in clients_in_table:
             client.writer.write(ask("post"))
         await until(lambda: len(server.requests) == len(clients_in_table))
-        late = BlockingClient(made, ask("post"))
+        late = BlockingClient(gw, ask("post"))
         disconnect(late)
-        if ending:
-            made.frontend.begin_shutdown()
+        if shutting_down:
+            gw.frontend.begin_shutdown()
         release.set()
         for client in clients_in_table:
             assert (await client.answer())[0] == 200
             client.writer.close()
         await until(
             lambda: (
-                made.runtime._last_request_id == len(clients_in_table) + 1
-                or disconnect is BlockingClient.reset
+                gw.runtime._last_request_id == len(clients_in_table) + 1 or disconnect is BlockingClient.reset
             )
         )
-        await request_dropped(made)
+        await request_dropped(gw)
         assert len(server.requests) == len(clients_in_table)
 
     run(scenario())
 
 
-def run_before_assign(made: Gateway, which: int, what: Callable[[], None]) -> list[interface.Assign]:
+def run_before_assign(gw: Gateway, which: int, what: Callable[[], None]) -> list[interface.Assign]:
     """Call ``what`` just before the attempt number ``which`` starts, in the same loop turn."""
-    assign, assigned_actions = made.runtime._action_handlers[interface.Assign], list[interface.Assign]()
+    assign, assigned_actions = gw.runtime._action_handlers[interface.Assign], list[interface.Assign]()
 
     def assigned(action: interface.Assign) -> None:
         assigned_actions.append(action)
@@ -505,7 +504,7 @@
             what()
         assign(action)
 
-    made.runtime._action_handlers[interface.Assign] = assigned
+    gw.runtime._action_handlers[interface.Assign] = assigned
     return assigned_actions
 
 
@@ -513,10 +512,10 @@
 
 
 @immediate_disconnects
-@pytest.mark.parametrize("ending", [False, True])
-@pytest.mark.parametrize("hedging", [True, False], ids=["hedge", "called off"])
-def test_just_before_a_hedge_or_replacement_attempt_starts(
-    disconnect: Callable[[BlockingClient], None], ending: bool, hedging: bool
+@pytest.mark.parametrize("shutting_down", [False, True])
+@pytest.mark.parametrize("hedging", [True, False], ids=["hedge", "replacement"])
+def test_disconnect_just_before_a_hedge_or_replacement_prevents_it(
+    disconnect: Callable[[BlockingClient], None], shutting_down: bool, hedging: bool
 ) -> None:
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
@@ -527,17 +526,17 @@
 
         server = await Peer(script).start()
         limits = SETTINGS["limits"] | {"second-copies": hedging}
-        made = gateway(server.address, server.address, settings=SETTINGS | {"limits": limits})
-        client = await Client.to(made)
+        gw = gateway(server.address, server.address, settings=SETTINGS | {"limits": limits})
+        client = await Client.to(gw)
         for _ in range(FAST_ANSWERS):
             assert (await client.send(ask()))[0] == 200
         client.writer.close()
-        late = BlockingClient(made, ask())
-        assigned_actions = run_before_assign(made, 2, lambda: disconnect(late))
+        late = BlockingClient(gw, ask())
+        assigned_actions = run_before_assign(gw, 2, lambda: disconnect(late))
         await until(lambda: len(server.requests) == FAST_ANSWERS + 1)
-        if ending:
-            made.frontend.begin_shutdown()
-        await request_dropped(made)
+        if shutting_down:
+            gw.frontend.begin_shutdown()
+        await request_dropped(gw)
         assert len(assigned_actions) == 2
         assert len(server.requests) == FAST_ANSWERS + 1
 
@@ -545,42 +544,42 @@
 
 
 @immediate_disconnects
-def test_while_the_connection_for_a_retry_opens(
+def test_disconnect_while_the_connection_for_a_retry_opens_prevents_it(
     disconnect: Callable[[BlockingClient], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    held = hold_connects(monkeypatch)
+    held_connects = hold_connects(monkeypatch)
 
     async def scenario() -> None:
         server = await answering(NOT_RUN)
-        made = gateway(server.address, server.address)
-        client = BlockingClient(made, ask("post"))
-        await until(lambda: bool(held))
-        held.pop()()
-        await until(lambda: bool(held))
-        connections = pause_all_reading(made)
+        gw = gateway(server.address, server.address)
+        client = BlockingClient(gw, ask("post"))
+        await until(lambda: bool(held_connects))
+        held_connects.pop()()
+        await until(lambda: bool(held_connects))
+        connections = pause_all_reading(gw)
         disconnect(client)
-        held.pop()()  # in the same loop turn as the disconnect
+        held_connects.pop()()  # in the same loop turn as the disconnect
         resume_all_reading(connections)
-        await request_dropped(made)
+        await request_dropped(gw)
         assert len(server.requests) == 1
 
     run(scenario())
 
 
-async def fill_receive_buffer(made: Gateway, sock: socket.socket, ahead: bytes) -> None:
+async def fill_receive_buffer(gw: Gateway, sock: socket.socket, pipelined: bytes) -> None:
     """Send until the kernel's buffers of a paused connection are full."""
     sock.setblocking(False)
-    sock.send(ahead * 1000)
-    await until(lambda: any(client.reading_paused for client in made.frontend.clients.open))
+    sock.send(pipelined * 1000)
+    await until(lambda: any(client.reading_paused for client in gw.frontend.clients.open))
     with contextlib.suppress(BlockingIOError):
         while True:
-            sock.send(ahead * 1000)
+            sock.send(pipelined * 1000)
 
 
 @immediate_disconnects
-@pytest.mark.parametrize("ahead", [b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", b"\x00" * 40])
-def test_hidden_behind_a_full_receive_buffer(
-    disconnect: Callable[[BlockingClient], None], ahead: bytes
+@pytest.mark.parametrize("pipelined", [b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n", b"\x00" * 40])
+def test_disconnect_hidden_behind_a_full_receive_buffer_prevents_a_retry(
+    disconnect: Callable[[BlockingClient], None], pipelined: bytes
 ) -> None:
     # The close is queued behind that input: the kernel can't receive it before there is room for the input.
     async def scenario() -> None:
@@ -593,33 +592,33 @@
             await reader.read()
 
         server = await Peer(script).start()
-        made = gateway(server.address, server.address)
-        client = BlockingClient(made, ask("post"))
+        gw = gateway(server.address, server.address)
+        client = BlockingClient(gw, ask("post"))
         await until(lambda: len(server.requests) == 1)
-        await fill_receive_buffer(made, client.socket, ahead)
+        await fill_receive_buffer(gw, client.socket, pipelined)
         disconnect(client)
         release.set()
-        await until(lambda: not made.runtime._in_flight and not made.runtime._policy.in_flight)
+        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         assert len(server.requests) == 1
 
     run(scenario())
 
 
-def test_hidden_disconnect_is_refused_if_no_attempt_may_have_run(
+def test_possibly_hidden_disconnect_is_refused_if_no_attempt_may_have_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # It used to be answered as failed, though its attempts had reached no server.
     async def scenario() -> None:
-        made = gateway(closed_address(), closed_address())
-        asked: list[ClientConnection] = []
+        gw = gateway(closed_address(), closed_address())
+        checks: list[ClientConnection] = []
 
         def hidden(connection: ClientConnection) -> bool:
-            asked.append(connection)
-            return len(asked) > 2  # the first attempt checks at most twice
+            checks.append(connection)
+            return len(checks) > 2  # the first attempt checks at most twice
 
         monkeypatch.setattr(ClientConnection, "disconnect_may_be_hidden", hidden)
-        status, head, _ = await (await Client.to(made)).send(ask("post"))
-        assert len(asked) > 2
+        status, head, _ = await (await Client.to(gw)).send(ask("post"))
+        assert len(checks) > 2
         assert status == 429
         assert b"Retry-After" in head
 
@@ -642,15 +641,15 @@
                 writer.write(OK)
 
         server = await Peer(script).start()
-        made = gateway(server.address, server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address, server.address)
+        client = await Client.to(gw)
         for _ in range(FAST_ANSWERS):
             assert (await client.send(ask()))[0] == 200
         client.writer.close()
-        late = BlockingClient(made, ask())
+        late = BlockingClient(gw, ask())
         await until(lambda: len(server.requests) == FAST_ANSWERS + 1)
-        assigned_actions = run_before_assign(made, 2, lambda: None)
-        await fill_receive_buffer(made, late.socket, b"\x00" * 40)
+        assigned_actions = run_before_assign(gw, 2, lambda: None)
+        await fill_receive_buffer(gw, late.socket, b"\x00" * 40)
         await until(lambda: len(assigned_actions) == 1)  # the decision module asked for a hedge
         release.set()
         assert (await asyncio.get_running_loop().sock_recv(late.socket, 12)) == b"HTTP/1.1 200"
@@ -663,8 +662,8 @@
 def test_every_request_of_a_client_that_pipelines_and_stays_is_answered() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client, count = await Client.to(made), 600
+        gw = gateway(server.address)
+        client, count = await Client.to(gw), 600
         client.writer.write(b"".join(ask("post") for _ in range(count)))
         statuses = [(await client.answer())[0] for _ in range(count)]
         assert set(statuses) <= {200, 429}  # 429 while a disconnect would have been hidden
--- a/tests/test_full_client_table.py
+++ b/tests/test_full_client_table.py
@@ -55,16 +55,16 @@
             client.writer.close()
 
 
-def idle_after(made: Gateway, requests: int) -> bool:
+def idle_after(gw: Gateway, requests: int) -> bool:
     """Whether the only client is idle after this many requests."""
-    return made.runtime._last_request_id == requests and len(made.frontend.clients.idle) == 1
+    return gw.runtime._last_request_id == requests and len(gw.frontend.clients.idle) == 1
 
 
-async def fill_table_but_one(made: Gateway, asked: bool) -> list[Client]:
-    """Fill the client table up to one place; the clients are idle (``asked``) or have sent nothing."""
-    clients = [await Client.to(made) for _ in range(made.frontend.clients.budget - 1)]
-    await until(lambda: len(made.frontend.clients.new) == len(clients))
-    if asked:
+async def fill_table_but_one(gw: Gateway, has_requested: bool) -> list[Client]:
+    """Fill the client table up to one place; the clients are idle, or silent if not ``has_requested``."""
+    clients = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 1)]
+    await until(lambda: len(gw.frontend.clients.new) == len(clients))
+    if has_requested:
         for client in clients:
             assert (await client.send(ask()))[0] == 200
     return clients
@@ -179,14 +179,14 @@
                 await back.wait()
 
         monkeypatch.setattr(discovery, "pause", pause)
-        made = gateway(discovery=discovery_peer.address, limits=EIGHT_CLIENTS)
-        clients = [await Client.to(made) for _ in range(40)]
+        gw = gateway(discovery=discovery_peer.address, limits=EIGHT_CLIENTS)
+        clients = [await Client.to(gw) for _ in range(40)]
         await until(
             lambda: len(pauses) == 500
         )  # after hundreds of refused connects, with a table full of idle clients
         await discovery_peer.listen(entry("s9", ("127.0.0.1", 1)))
         back.set()
-        await until(lambda: [s.name for s in made.backends.servers()] == ["s9"])
+        await until(lambda: [s.name for s in gw.backends.servers()] == ["s9"])
         assert len(pauses) == 500
         assert max(pauses) <= 1.5 * discovery.REOPEN_PAUSE_S
         assert len(clients) == 40
@@ -201,18 +201,16 @@
     # connection that had no transport yet used to count as evicted though it stayed open.  That blocked all
     # further evictions, and other clients waited unread.
     async def scenario() -> None:
-        made = gateway(limits=EIGHT_CLIENTS)
-        socks = [
-            socket.create_connection(made.frontend.address) for _ in range(made.frontend.clients.budget - 1)
-        ]
-        made.frontend._accept_batch()
-        assert all(client.transport is None for client in made.frontend.clients.open)
+        gw = gateway(limits=EIGHT_CLIENTS)
+        socks = [socket.create_connection(gw.frontend.address) for _ in range(gw.frontend.clients.budget - 1)]
+        gw.frontend._accept_batch()
+        assert all(client.transport is None for client in gw.frontend.clients.open)
         monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
-        made.frontend.clients.make_room()
-        assert not made.frontend.clients.evicted
-        await until(lambda: all(client.transport is not None for client in made.frontend.clients.open))
-        made.frontend.clients.make_room()
-        await until(lambda: not made.frontend.clients.open)
+        gw.frontend.clients.make_room()
+        assert not gw.frontend.clients.evicted
+        await until(lambda: all(client.transport is not None for client in gw.frontend.clients.open))
+        gw.frontend.clients.make_room()
+        await until(lambda: not gw.frontend.clients.open)
         for sock in socks:
             sock.close()
 
@@ -225,24 +223,24 @@
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits={"sockets": 128})
-        idle_clients = [await Client.to(made) for _ in range(made.frontend.clients.budget - 2)]
+        gw = gateway(server.address, limits={"sockets": 128})
+        idle_clients = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 2)]
         for client in idle_clients:
             assert (await client.send(ask()))[0] == 200
-        slow, request = await Client.to(made), ask("post", body=b"a" * 100)
+        slow, request = await Client.to(gw), ask("post", body=b"a" * 100)
         slow.writer.write(request[:-50])
-        await until(lambda: any(client.receiving for client in made.frontend.clients.open))
-        made.frontend.clients.make_room()
-        await until(lambda: not made.frontend.clients.evicted)
-        assert len(made.frontend.clients.idle) < len(idle_clients)
+        await until(lambda: any(client.receiving for client in gw.frontend.clients.open))
+        gw.frontend.clients.make_room()
+        await until(lambda: not gw.frontend.clients.evicted)
+        assert len(gw.frontend.clients.idle) < len(idle_clients)
         assert (await slow.send(request[-50:]))[0] == 200
 
     run(scenario())
 
 
-@pytest.mark.parametrize("asked", [False, True])
+@pytest.mark.parametrize("has_requested", [False, True])
 def test_incomplete_requests_alone_do_not_keep_out_complete_ones(
-    asked: bool, monkeypatch: pytest.MonkeyPatch
+    has_requested: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Connections with an incomplete request used to be spared, first on used connections and then on all, so
     # new requests waited for their timeout of 2 s.  The test disables that timeout.
@@ -250,16 +248,16 @@
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits=EIGHT_CLIENTS)
-        incomplete = [await Client.to(made) for _ in range(made.frontend.clients.budget - 1)]
+        gw = gateway(server.address, limits=EIGHT_CLIENTS)
+        incomplete = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 1)]
         for client in incomplete:
-            if asked:
+            if has_requested:
                 assert (await client.send(HEALTH))[0] == 200
         for client in incomplete:
             client.writer.write(ask()[:30])
-        await until(lambda: sum(client.receiving for client in made.frontend.clients.open) == len(incomplete))
-        for _ in range(2 * made.frontend.clients.budget):
-            incomplete.append(client := await Client.to(made))
+        await until(lambda: sum(client.receiving for client in gw.frontend.clients.open) == len(incomplete))
+        for _ in range(2 * gw.frontend.clients.budget):
+            incomplete.append(client := await Client.to(gw))
             assert (await client.send(ask()))[0] == 200
             client.writer.write(ask()[:30])
 
@@ -274,64 +272,64 @@
     async def scenario() -> None:
         body = b"a" * 60_000
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        made = gateway(server.address, limits=EIGHT_CLIENTS)
-        with socket.create_connection(made.frontend.address) as not_reading:
-            for asked in count(1):
+        gw = gateway(server.address, limits=EIGHT_CLIENTS)
+        with socket.create_connection(gw.frontend.address) as not_reading:
+            for requests in count(1):
                 not_reading.sendall(ask())
-                await until(partial(idle_after, made, asked))
-                if any(client.has_unsent_output() for client in made.frontend.clients.idle):
+                await until(partial(idle_after, gw, requests))
+                if any(client.has_unsent_output() for client in gw.frontend.clients.idle):
                     break
             idle_clients = []
-            for _ in range(3 * made.frontend.clients.budget):
-                idle_clients.append(client := await Client.to(made))
+            for _ in range(3 * gw.frontend.clients.budget):
+                idle_clients.append(client := await Client.to(gw))
                 assert (await client.send(HEALTH))[0] == 200
-            assert len(made.frontend.clients.open) <= made.frontend.clients.budget
+            assert len(gw.frontend.clients.open) <= gw.frontend.clients.budget
 
     run(scenario())
 
 
-@pytest.mark.parametrize("asked", [False, True])
+@pytest.mark.parametrize("has_requested", [False, True])
 def test_request_that_is_unread_at_the_eviction_is_answered(
-    asked: bool, monkeypatch: pytest.MonkeyPatch
+    has_requested: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits=EIGHT_CLIENTS)
-        clients = await fill_table_but_one(made, asked)
+        gw = gateway(server.address, limits=EIGHT_CLIENTS)
+        clients = await fill_table_but_one(gw, has_requested)
         before = len(server.requests)
         sender = clients[0]  # the first candidate
         sock: socket.socket = sender.writer.get_extra_info("socket")
         os.write(sock.fileno(), ask())  # in the gateway's kernel buffer before its loop runs again
-        made.frontend.clients.make_room()
-        assert made.frontend.clients.evicted
+        gw.frontend.clients.make_room()
+        assert gw.frontend.clients.evicted
         assert (await sender.answer())[0] == 200
         assert len(server.requests) == before + 1
 
     run(scenario())
 
 
-@pytest.mark.parametrize("asked", [False, True])
+@pytest.mark.parametrize("has_requested", [False, True])
 def test_request_sent_after_the_eviction_is_never_handled(
-    asked: bool, monkeypatch: pytest.MonkeyPatch
+    has_requested: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits=EIGHT_CLIENTS)
-        clients = await fill_table_but_one(made, asked)
-        before = made.runtime._last_request_id
-        made.frontend.clients.make_room()
+        gw = gateway(server.address, limits=EIGHT_CLIENTS)
+        clients = await fill_table_but_one(gw, has_requested)
+        before = gw.runtime._last_request_id
+        gw.frontend.clients.make_room()
         for client in clients:
             sock: socket.socket = client.writer.get_extra_info("socket")
             os.write(sock.fileno(), ask())  # after the eviction's check for input, before the close
         for client in clients:
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.answer()
-        assert made.runtime._last_request_id == before
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert gw.runtime._last_request_id == before
+        assert (await (await Client.to(gw)).send(ask()))[0] == 200
 
     run(scenario())
 
@@ -342,21 +340,21 @@
     async def scenario() -> None:
         body = b"a" * 60_000
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        made = gateway(server.address, limits=EIGHT_CLIENTS)
+        gw = gateway(server.address, limits=EIGHT_CLIENTS)
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        sock.connect(made.frontend.address)
+        sock.connect(gw.frontend.address)
         client = Client(*await asyncio.open_connection(sock=sock))
         assert (await client.send(HEALTH))[0] == 200
-        (connection,) = made.frontend.clients.open
+        (connection,) = gw.frontend.clients.open
         connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        connection_idle = made.frontend.connection_idle
+        connection_idle = gw.frontend.connection_idle
 
         def idle_then_make_room(client: ClientConnection) -> None:
             connection_idle(client)
-            made.frontend.clients.make_room()
+            gw.frontend.clients.make_room()
 
-        monkeypatch.setattr(made.frontend, "connection_idle", idle_then_make_room)
+        monkeypatch.setattr(gw.frontend, "connection_idle", idle_then_make_room)
         status, _, got = await client.send(ask())
         assert (status, got) == (200, body)
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -53,8 +53,8 @@
 
 def test_health_check_succeeds_with_discovery_and_counter_down() -> None:
     async def scenario() -> None:
-        made = gateway(counter=f"127.0.0.1:{closed_port()}")
-        client = await Client.to(made)
+        gw = gateway(counter=f"127.0.0.1:{closed_port()}")
+        client = await Client.to(gw)
         assert (await client.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
 
     run(scenario())
@@ -169,12 +169,12 @@
 def test_invalid_request_is_rejected_with_its_status_and_not_forwarded(what: str) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         assert (await client.send(INVALID_REQUESTS[what][0]))[0] == INVALID_REQUESTS[what][1]
         assert await client.reader.read() == b""  # a further request needs a new connection
         assert server.requests == []
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert (await (await Client.to(gw)).send(ask()))[0] == 200
 
     run(scenario())
 
@@ -222,32 +222,34 @@
 def test_no_request_is_handled_after_one_with_connection_close() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask(Connection="close") + ask())
-        made.frontend.begin_shutdown()  # before it is read
+        gw.frontend.begin_shutdown()  # before it is read
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
-        assert made.runtime._last_request_id == 1
+        assert gw.runtime._last_request_id == 1
 
     run(scenario())
 
 
-@pytest.mark.parametrize("ending", [False, True])
-def test_requests_read_behind_a_rejected_one_are_answered_and_the_last_answer_closes(ending: bool) -> None:
+@pytest.mark.parametrize("shutting_down", [False, True])
+def test_requests_read_behind_a_rejected_one_are_answered_and_the_last_answer_closes(
+    shutting_down: bool,
+) -> None:
     # A rejection used to close the connection at once, without answers to the requests read behind it.
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask() + ask("odd") + ask() + ask("odd") + ask())
-        if ending:
-            made.frontend.begin_shutdown()  # before it is read
+        if shutting_down:
+            gw.frontend.begin_shutdown()  # before it is read
         heads = [(await client.answer())[:2] for _ in range(5)]
         assert [status for status, _ in heads] == [200, 404, 200, 404, 200]
         assert [b"Connection: close" in head for _, head in heads] == [False] * 4 + [True]
         assert await client.reader.read() == b""
-        assert made.runtime._last_request_id == 3
+        assert gw.runtime._last_request_id == 3
 
     run(scenario())
 
@@ -266,17 +268,17 @@
 def test_reading_pauses_for_a_client_that_pipelines_many_requests() -> None:
     async def scenario() -> None:
         server = await silent()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask("post"))
         await until(lambda: len(server.requests) == 1)
-        (connection,) = made.frontend.clients.open
+        (connection,) = gw.frontend.clients.open
         client.writer.write(b"".join(ask("post", body=b"a" * 60_000) for _ in range(300)))
         await until(lambda: connection.reading_paused)
         for _ in range(50):
             await asyncio.sleep(0)
         assert len(connection.pending) < 5
-        assert made.frontend._held_body_bytes < 4 * 60_000
+        assert gw.frontend._held_body_bytes < 4 * 60_000
 
     run(scenario())
 
@@ -295,12 +297,12 @@
     fast_timeout_checks.setattr(client_module, "REQUEST_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
-        made = gateway()
-        client = await Client.to(made)
+        gw = gateway()
+        client = await Client.to(gw)
         client.writer.write(sent)
         got = await client.reader.read()
         assert got.startswith(b"HTTP/1.1 408 ") == bool(sent)
-        await until(lambda: not made.frontend.clients.open)
+        await until(lambda: not gw.frontend.clients.open)
 
     run(scenario())
 
@@ -310,11 +312,11 @@
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         assert (await client.send(ask()))[0] == 200
         assert await client.reader.read() == b""
-        assert not made.frontend.clients.open
+        assert not gw.frontend.clients.open
 
     run(scenario())
 
@@ -353,11 +355,11 @@
     async def scenario() -> None:
         body = b"a" * 60_000
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        made = gateway(server.address)
-        sock = socket.create_connection(made.frontend.address)
+        gw = gateway(server.address)
+        sock = socket.create_connection(gw.frontend.address)
         sock.sendall(b"".join(ask() for _ in range(300)))
-        await until(lambda: any(c.write_blocked for c in made.frontend.clients.open))
-        await until(lambda: not made.frontend.clients.open)
+        await until(lambda: any(c.write_blocked for c in gw.frontend.clients.open))
+        await until(lambda: not gw.frontend.clients.open)
         sock.close()
 
     run(scenario())
@@ -366,14 +368,14 @@
 def test_silent_connections_do_not_keep_out_requests() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits={"sockets": 64})
-        idle_client = await Client.to(made)
+        gw = gateway(server.address, limits={"sockets": 64})
+        idle_client = await Client.to(gw)
         assert (await idle_client.send(ask()))[0] == 200
-        silent_clients = [await Client.to(made) for _ in range(100)]
-        late = await Client.to(made)
+        silent_clients = [await Client.to(gw) for _ in range(100)]
+        late = await Client.to(gw)
         assert (await late.send(ask()))[0] == 200
         assert (await idle_client.send(ask()))[0] == 200  # not evicted, though it has been idle for longest
-        assert len(made.frontend.clients.open) <= 8
+        assert len(gw.frontend.clients.open) <= 8
         assert len(silent_clients) == 100
 
     run(scenario())
@@ -384,15 +386,15 @@
     # full of idle connections requests waited unread for seconds (incident r110174).
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits={"sockets": 128})
-        idle_clients = [await Client.to(made) for _ in range(made.frontend.clients.budget - 1)]
+        gw = gateway(server.address, limits={"sockets": 128})
+        idle_clients = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 1)]
         for client in idle_clients:
             assert (await client.send(ask()))[0] == 200
-        new_clients = [await Client.to(made) for _ in range(2)]
-        await until(lambda: len(made.frontend.clients.new) > 0)
-        before = len(made.frontend.clients.idle)
-        made.frontend.clients.make_room()
-        assert len(made.frontend.clients.idle) < before
+        new_clients = [await Client.to(gw) for _ in range(2)]
+        await until(lambda: len(gw.frontend.clients.new) > 0)
+        before = len(gw.frontend.clients.idle)
+        gw.frontend.clients.make_room()
+        assert len(gw.frontend.clients.idle) < before
         assert (await new_clients[0].send(ask()))[0] == 200
 
     run(scenario())
@@ -403,10 +405,10 @@
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits={"sockets": 64})
+        gw = gateway(server.address, limits={"sockets": 64})
         for _ in range(40):
-            assert (await (await Client.to(made)).send(b"\x00\r\n\r\n"))[0] == 400
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+            assert (await (await Client.to(gw)).send(b"\x00\r\n\r\n"))[0] == 400
+        assert (await (await Client.to(gw)).send(ask()))[0] == 200
 
     run(scenario())
 
@@ -416,16 +418,16 @@
 
     async def scenario() -> None:
         server = await silent()
-        made = gateway(server.address)
-        one, two = await Client.to(made), await Client.to(made)
+        gw = gateway(server.address)
+        one, two = await Client.to(gw), await Client.to(gw)
         one.writer.write(ask("post", body=b"a" * 60_000))
         await until(lambda: len(server.requests) == 1)
         status, head, _ = await two.send(ask("post", body=b"a" * 60_000))
         assert status == 503
         assert b"Retry-After: " in head
         one.writer.close()
-        await until(lambda: made.frontend._held_body_bytes == 0)
-        three = await Client.to(made)
+        await until(lambda: gw.frontend._held_body_bytes == 0)
+        three = await Client.to(gw)
         three.writer.write(ask("post", body=b"a" * 60_000))
         await until(lambda: len(server.requests) == 3)
 
@@ -483,15 +485,15 @@
     async def scenario() -> None:
         server = await silent()
         good = await answering(OK)
-        made = gateway(server.address)
-        client, other = await Client.to(made), await Client.to(made)
+        gw = gateway(server.address)
+        client, other = await Client.to(gw), await Client.to(gw)
         client.writer.write(ask("post"))
         await until(lambda: len(server.requests) == 1)
 
         def broken(now: int, events: list[interface.Event]) -> list[interface.Action]:
             raise ZeroDivisionError("raised by the test")
 
-        made.runtime._policy.handle = broken  # type: ignore[method-assign, assignment]
+        gw.runtime._policy.handle = broken  # type: ignore[method-assign, assignment]
         assert (await other.send(ask()))[0] == 502
         assert (await client.answer())[0] == 502
         assert "the policy raised an exception" in caplog.text
@@ -506,12 +508,12 @@
     # The event loop's clock counts whole milliseconds and doesn't advance within a turn, so its timers may
     # fire early; the decision module sets each timer only once and relies on its time.
     async def scenario() -> None:
-        made = gateway()
+        gw = gateway()
         fired: list[tuple[int, int]] = []
-        made.runtime._post = lambda event: fired.append((event.token, clock.now()))  # type: ignore
+        gw.runtime._post = lambda event: fired.append((event.token, clock.now()))  # type: ignore
         due = [clock.now() + after for after in range(100_000, 60_000_000, 1_370_000)]
         for number, at in enumerate(due):
-            made.runtime._post_timer_when_due(at, number)
+            gw.runtime._post_timer_when_due(at, number)
         time.sleep(0.005)
         await until(lambda: len(fired) == len(due))
         assert all(at >= due[number] for number, at in fired)
@@ -522,8 +524,8 @@
 def test_clients_beyond_the_connection_budget_are_all_served() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address, limits={"sockets": 64})
-        clients = [await Client.to(made) for _ in range(60)]
+        gw = gateway(server.address, limits={"sockets": 64})
+        clients = [await Client.to(gw) for _ in range(60)]
         max_open = 0
         for client in clients:
             try:
@@ -531,8 +533,8 @@
             except (
                 asyncio.IncompleteReadError
             ):  # the idle connection was evicted: clients send the request once more
-                assert (await (await Client.to(made)).send(ask()))[0] == 200
-            max_open = max(max_open, len(made.frontend.clients.open))
+                assert (await (await Client.to(gw)).send(ask()))[0] == 200
+            max_open = max(max_open, len(gw.frontend.clients.open))
         assert max_open <= 8
 
     run(scenario())
@@ -541,8 +543,8 @@
 def test_accept_recovers_from_a_descriptor_shortage(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        listener: Any = made.frontend._listener
+        gw = gateway(server.address)
+        listener: Any = gw.frontend._listener
 
         class Exhausted:
             left = 3
@@ -556,10 +558,10 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(listener, name)
 
-        monkeypatch.setattr(made.frontend, "_listener", Exhausted())
+        monkeypatch.setattr(gw.frontend, "_listener", Exhausted())
         loop_errors: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: loop_errors.append(context))
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert (await (await Client.to(gw)).send(ask()))[0] == 200
         assert not loop_errors
 
     run(scenario())
@@ -576,17 +578,17 @@
             await reader.read()
 
         slow.script = script
-        made = gateway(slow.address)
-        address = made.frontend.address
-        idle, held = await Client.to(made), await Client.to(made)
+        gw = gateway(slow.address)
+        address = gw.frontend.address
+        idle, held = await Client.to(gw), await Client.to(gw)
         assert (await idle.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
         held.writer.write(ask())
         await until(lambda: len(slow.requests) == 1)
-        end = asyncio.ensure_future(made.ended())
-        made.frontend.begin_shutdown()
+        end = asyncio.ensure_future(gw.ended())
+        gw.frontend.begin_shutdown()
         assert await idle.reader.read() == b""
         await asyncio.sleep(0.3)  # new connections are still accepted
-        late = await Client.to(made)
+        late = await Client.to(gw)
         status, head, _ = await late.send(ask("odd"))
         assert status == 404
         assert b"Connection: close" in head
@@ -607,12 +609,12 @@
 def test_unread_request_is_answered_during_shutdown() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         assert (await client.send(ask()))[0] == 200
         sock = client.writer.get_extra_info("socket")
         os.write(sock.fileno(), ask())  # in the gateway's kernel buffer before its loop runs again
-        made.frontend.begin_shutdown()
+        gw.frontend.begin_shutdown()
         assert (await client.answer())[0] == 200
 
     run(scenario())
@@ -655,27 +657,27 @@
     # In one loop turn the decision module starts a further attempt and is then told of the disconnect.
     async def scenario() -> None:
         server = await silent()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask())
         await until(lambda: len(server.requests) == 1)
-        (connection,) = made.backends._open
-        made.backends.end_attempt(connection, interface.Status.DROPPED)
-        made.runtime.cancel_request(1)
-        await until(lambda: not made.runtime._in_flight)
-        await until(lambda: not made.runtime._policy.in_flight)
+        (connection,) = gw.backends._open
+        gw.backends.end_attempt(connection, interface.Status.DROPPED)
+        gw.runtime.cancel_request(1)
+        await until(lambda: not gw.runtime._in_flight)
+        await until(lambda: not gw.runtime._policy.in_flight)
 
     run(scenario())
 
 
 def test_shutdown_does_not_wait_for_a_request_that_is_never_completed() -> None:
     async def scenario() -> None:
-        made = gateway()
-        client = await Client.to(made)
+        gw = gateway()
+        client = await Client.to(gw)
         client.writer.write(ask()[:-2])
-        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
-        made.frontend.begin_shutdown()
-        await made.ended()
+        await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        gw.frontend.begin_shutdown()
+        await gw.ended()
 
     run(scenario())
 
@@ -683,12 +685,12 @@
 def test_request_completed_during_shutdown_is_answered() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         request = ask()
         client.writer.write(request[:40])
-        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
-        made.frontend.begin_shutdown()
+        await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        gw.frontend.begin_shutdown()
         await asyncio.sleep(0.1)
         assert (await client.send(request[40:]))[0] == 200
 
@@ -699,11 +701,11 @@
     async def scenario() -> None:
         body = b"a" * 60_000
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        made = gateway(server.address)
-        sock = socket.create_connection(made.frontend.address)
+        gw = gateway(server.address)
+        sock = socket.create_connection(gw.frontend.address)
         sock.sendall(b"".join(ask() for _ in range(300)))
-        await until(lambda: any(c.write_blocked for c in made.frontend.clients.open))
-        (connection,) = made.frontend.clients.open
+        await until(lambda: any(c.write_blocked for c in gw.frontend.clients.open))
+        (connection,) = gw.frontend.clients.open
         for _ in range(20):
             await asyncio.sleep(0.002)
         assert connection.transport is not None
@@ -719,12 +721,12 @@
 def test_exception_in_one_request_fails_that_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         with monkeypatch.context() as patch:
-            patch.setattr(made.backends, "start", lambda attempt: 1 / 0)
+            patch.setattr(gw.backends, "start", lambda attempt: 1 / 0)
             assert (await client.send(ask()))[0] == 502
-        await until(lambda: not made.runtime._in_flight and not made.runtime._policy.in_flight)
+        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         assert (await client.send(ask()))[0] == 200
 
     run(scenario())
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -30,9 +30,9 @@
 EIGHT_CLIENTS = raw_config()["limits"] | {"sockets": 64}
 
 
-def connect_and_send(made: Gateway, request: bytes) -> socket.socket:
+def connect_and_send(gw: Gateway, request: bytes) -> socket.socket:
     """Open a connection and send a request on it, before the event loop runs again."""
-    sock = socket.create_connection(made.frontend.address)
+    sock = socket.create_connection(gw.frontend.address)
     sock.sendall(request)
     sock.setblocking(False)
     return sock
@@ -47,24 +47,24 @@
         writer.close()
 
 
-def shut_down_now(made: Gateway) -> None:
+def shut_down_now(gw: Gateway) -> None:
     """Begin the shutdown, and go on to the time at which the listener would be closed."""
-    made.frontend.begin_shutdown()
-    made.frontend._shutdown.connection_accepted(0)  # long ago
-    made.frontend._close_listener()
+    gw.frontend.begin_shutdown()
+    gw.frontend._shutdown.connection_accepted(0)  # long ago
+    gw.frontend._close_listener()
 
 
 def test_all_connections_in_the_backlog_are_accepted_before_the_listener_closes() -> None:
     # The last accept used to take 64 connections and the close reset the others, which had sent requests.
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        made.frontend.start_accepting()
-        socks = [connect_and_send(made, ask()) for _ in range(100)]
-        shut_down_now(made)
+        gw = gateway(server.address)
+        gw.frontend.start_accepting()
+        socks = [connect_and_send(gw, ask()) for _ in range(100)]
+        shut_down_now(gw)
         heads = [(await read_to_end(sock)).split(b"\r\n")[0] for sock in socks]
         assert [head.split()[1] for head in heads] == [b"200"] * 100
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -72,17 +72,17 @@
 def test_with_a_full_client_table_the_listener_closes_only_with_an_empty_backlog() -> None:
     async def scenario() -> None:
         server, release = await held_server()
-        made = gateway(server.address, limits=EIGHT_CLIENTS)
-        made.frontend.start_accepting()
-        held = [connect_and_send(made, ask()) for _ in range(made.frontend.clients.budget)]
-        await until(lambda: len(made.frontend.clients.open) == made.frontend.clients.budget)
+        gw = gateway(server.address, limits=EIGHT_CLIENTS)
+        gw.frontend.start_accepting()
+        held = [connect_and_send(gw, ask()) for _ in range(gw.frontend.clients.budget)]
+        await until(lambda: len(gw.frontend.clients.open) == gw.frontend.clients.budget)
         await until(lambda: bool(server.requests))
-        waits = connect_and_send(made, ask())
-        shut_down_now(made)
+        waits = connect_and_send(gw, ask())
+        shut_down_now(gw)
         release.set()
         for sock in [*held, waits]:
             assert (await read_to_end(sock)).startswith(b"HTTP/1.1 200")
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -90,11 +90,11 @@
 def test_sigterm_before_the_first_accept_still_serves_the_backlog() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)  # discovery has not answered yet: nothing is accepted
-        sock = connect_and_send(made, ask())
-        made.frontend.begin_shutdown()
+        gw = gateway(server.address)  # discovery has not answered yet: nothing is accepted
+        sock = connect_and_send(gw, ask())
+        gw.frontend.begin_shutdown()
         assert (await read_to_end(sock)).startswith(b"HTTP/1.1 200")
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -102,17 +102,17 @@
 def test_a_second_sigterm_changes_nothing() -> None:
     async def scenario() -> None:
         server, release = await held_server()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask())
         await until(lambda: bool(server.requests))
-        made.frontend.begin_shutdown()
-        schedule = made.frontend._shutdown.schedule
-        made.frontend.begin_shutdown()
-        assert made.frontend._shutdown.schedule is schedule
+        gw.frontend.begin_shutdown()
+        schedule = gw.frontend._shutdown.schedule
+        gw.frontend.begin_shutdown()
+        assert gw.frontend._shutdown.schedule is schedule
         release.set()
         assert (await client.answer())[0] == 200
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -125,14 +125,14 @@
     monkeypatch.setattr(frontend, "INCOMPLETE_REQUEST_WAIT_S", 1e6)
 
     async def scenario() -> None:
-        made = gateway()
-        made.frontend.start_accepting()
-        sock = connect_and_send(made, b"")
-        shut_down_now(made)
-        (client,) = made.frontend.clients.open
+        gw = gateway()
+        gw.frontend.start_accepting()
+        sock = connect_and_send(gw, b"")
+        shut_down_now(gw)
+        (client,) = gw.frontend.clients.open
         assert client.transport is None
         assert await read_to_end(sock) == b""
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -141,17 +141,17 @@
     # The first answer used to close the connection, and the requests read behind it were dropped.
     async def scenario() -> None:
         server, release = await held_server()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask() + ask() + ask())
         await until(lambda: bool(server.requests))
-        made.frontend.begin_shutdown()
+        gw.frontend.begin_shutdown()
         release.set()
         heads = [(await client.answer())[:2] for _ in range(3)]
         assert [status for status, _ in heads] == [200] * 3
         assert [b"Connection: close" in head for _, head in heads] == [False, False, True]
         assert await client.reader.read() == b""
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -159,17 +159,17 @@
 def test_incomplete_request_behind_the_one_in_flight_is_answered_once_complete() -> None:
     async def scenario() -> None:
         server, release = await held_server()
-        made = gateway(server.address)
-        client, second = await Client.to(made), ask()
+        gw = gateway(server.address)
+        client, second = await Client.to(gw), ask()
         client.writer.write(ask() + second[:50])
-        await until(lambda: bool(server.requests) and any(c.receiving for c in made.frontend.clients.open))
-        made.frontend.begin_shutdown()
+        await until(lambda: bool(server.requests) and any(c.receiving for c in gw.frontend.clients.open))
+        gw.frontend.begin_shutdown()
         release.set()
         assert (await client.answer())[0] == 200
         status, head, _ = await client.send(second[50:])
         assert status == 200
         assert b"Connection: close" in head
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -177,16 +177,16 @@
 def test_shutdown_does_not_finish_with_a_request_unread() -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client, request = await Client.to(made), ask()
+        gw = gateway(server.address)
+        client, request = await Client.to(gw), ask()
         client.writer.write(request[:50])
-        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
-        shut_down_now(made)
+        await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        shut_down_now(gw)
         os.write(client.writer.get_extra_info("socket").fileno(), request[50:])
-        made.frontend._reject_incomplete()  # before the event loop runs again
-        assert not made.frontend.finished.is_set()
+        gw.frontend._reject_incomplete()  # before the event loop runs again
+        assert not gw.frontend.finished.is_set()
         assert (await client.answer())[0] == 200
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -207,28 +207,28 @@
             await reader.read()
 
         server = await Peer(script).start()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask("post", body=b"a" * 60_000))
         await begun.wait()
-        made.frontend.begin_shutdown()
+        gw.frontend.begin_shutdown()
         release.set()
         status, head, _ = await client.answer()
         assert status == 200
         assert b"Connection: close" in head
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
 
-async def slow_reader(made: Gateway) -> tuple[socket.socket, client_module.ClientConnection]:
+async def slow_reader(gw: Gateway) -> tuple[socket.socket, client_module.ClientConnection]:
     """A client with small socket buffers, and its connection at the gateway."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
-    await asyncio.get_running_loop().sock_connect(sock, made.frontend.address)
-    await until(lambda: any(client.transport for client in made.frontend.clients.open))
-    (client,) = made.frontend.clients.open
+    await asyncio.get_running_loop().sock_connect(sock, gw.frontend.address)
+    await until(lambda: any(client.transport for client in gw.frontend.clients.open))
+    (client,) = gw.frontend.clients.open
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return sock, client
 
@@ -240,18 +240,18 @@
     # The connection used to count as idle though the request had been read, and SIGTERM closed it.
     async def scenario() -> None:
         server = await answering(LONG_ANSWER)
-        made = gateway(server.address)
-        sock, client = await slow_reader(made)
+        gw = gateway(server.address)
+        sock, client = await slow_reader(gw)
         sock.send(ask() + ask())
         await until(lambda: client.write_blocked)
         sock.send(ask())
         await until(lambda: bool(client.pending))
-        made.frontend.begin_shutdown()
+        gw.frontend.begin_shutdown()
         reader, writer = await asyncio.open_connection(sock=sock)
         for _ in range(3):
             assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
         writer.close()
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
 
@@ -264,8 +264,8 @@
 
     async def scenario() -> None:
         server = await answering(LONG_ANSWER)
-        made = gateway(server.address)
-        sock, client = await slow_reader(made)
+        gw = gateway(server.address)
+        sock, client = await slow_reader(gw)
         sock.send(ask() + b"\x00\r\n\r\n")
         await until(lambda: client.closing)
         assert client.has_unsent_output()
@@ -281,14 +281,14 @@
 def test_hanging_server_does_not_delay_the_final_answer_during_shutdown() -> None:
     async def scenario() -> None:
         server, _ = await held_server()
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         client.writer.write(ask("post", left="0.500"))
         await until(lambda: bool(server.requests))
-        made.frontend.begin_shutdown()
+        gw.frontend.begin_shutdown()
         began = asyncio.get_running_loop().time()
         assert (await client.answer())[0] == 502
         assert asyncio.get_running_loop().time() - began < 5.0  # the server never answers
-        await made.ended()
+        await gw.ended()
 
     run(scenario())
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -73,9 +73,9 @@
 
 def accepting_gateway(*servers: Address, **changes: Any) -> Gateway:
     """A gateway that accepts clients, though discovery has not answered."""
-    made = gateway(*servers, **changes)
-    made.frontend.start_accepting()
-    return made
+    gw = gateway(*servers, **changes)
+    gw.frontend.start_accepting()
+    return gw
 
 
 async def hanging_server() -> Peer:
@@ -97,13 +97,13 @@
         self.answered_s = 0.0
 
     @classmethod
-    async def to(cls, made: Gateway) -> Sender:
-        return cls(*await asyncio.open_connection(*made.frontend.address))
+    async def to(cls, gw: Gateway) -> Sender:
+        return cls(*await asyncio.open_connection(*gw.frontend.address))
 
     @classmethod
-    async def asking(cls, made: Gateway, request: bytes) -> Sender:
+    async def asking(cls, gw: Gateway, request: bytes) -> Sender:
         """A client whose request the gateway has read."""
-        sender = await cls.to(made)
+        sender = await cls.to(gw)
         sender.send(request)
         await asyncio.sleep(0.01)
         return sender
@@ -122,11 +122,11 @@
 class Termination:
     """SIGTERM to a gateway in this process, and the time at which SIGKILL would come."""
 
-    def __init__(self, made: Gateway, deadline_s: float) -> None:
-        self.made = made
+    def __init__(self, gw: Gateway, deadline_s: float) -> None:
+        self.gw = gw
         self.at_s = now_s()
         self.kill_s = self.at_s + min(deadline_s, MAX_COUNTED_DEADLINE_S) + KILL_DELAY_S
-        made.frontend.begin_shutdown()
+        gw.frontend.begin_shutdown()
 
     async def moment(self, seconds: float) -> None:
         """Wait until this time after SIGTERM."""
@@ -134,7 +134,7 @@
 
     async def ended(self) -> None:
         """Wait for the end of the shutdown, which has to come before SIGKILL."""
-        await self.made.ended()
+        await self.gw.ended()
         assert now_s() < self.kill_s
 
 
@@ -173,10 +173,10 @@
     # It used to have its full deadline, however late it came, and was lost if its server hung.
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(deadline_s))
-        termination = Termination(made, deadline_s)
+        gw = accepting_gateway(server.address, settings=settings(deadline_s))
+        termination = Termination(gw, deadline_s)
         await termination.moment(0.35)
-        late = await Sender.to(made)
+        late = await Sender.to(gw)
         await termination.moment(sent_at_s)
         late.send(ask(kind, left=f"{deadline_s:.3f}"))
         status, head = await late.answer()
@@ -195,8 +195,8 @@
     # A connection with unread input stays open, so that requests of clients that pipeline are read.
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(deadline_s))
-        sender = await Sender.to(made)
+        gw = accepting_gateway(server.address, settings=settings(deadline_s))
+        sender = await Sender.to(gw)
         sent = answered = 0
 
         async def keep_sending() -> None:
@@ -208,7 +208,7 @@
 
         writing = asyncio.create_task(keep_sending())
         await asyncio.sleep(0.01)
-        termination = Termination(made, deadline_s)
+        termination = Termination(gw, deadline_s)
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 status, _ = await sender.answer()
@@ -217,7 +217,7 @@
         writing.cancel()
         assert now_s() < termination.kill_s
         # Every request that was read has its answer; only one sent as the connection closed may have none.
-        assert answered == made.runtime._last_request_id
+        assert answered == gw.runtime._last_request_id
         await termination.ended()
 
     run_virtual(scenario())
@@ -226,9 +226,9 @@
 def test_request_from_before_sigterm_keeps_its_deadline_if_that_is_before_sigkill() -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(1.0))
-        sender = await Sender.asking(made, ask(left="1.000"))
-        termination = Termination(made, 1.0)
+        gw = accepting_gateway(server.address, settings=settings(1.0))
+        sender = await Sender.asking(gw, ask(left="1.000"))
+        termination = Termination(gw, 1.0)
         status, _ = await sender.answer()
         assert status == 503
         assert 0.9 < sender.answered_s - sender.sent_s <= 1.0
@@ -241,9 +241,9 @@
     # A client of a class with a deadline of 8 s may wait that long, but the supervisor counts at most 3 s.
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(8.0))
-        sender = await Sender.asking(made, ask("post", left="8.000"))
-        termination = Termination(made, 8.0)
+        gw = accepting_gateway(server.address, settings=settings(8.0))
+        sender = await Sender.asking(gw, ask("post", left="8.000"))
+        termination = Termination(gw, 8.0)
         assert (await sender.answer())[0] == 502
         assert termination.kill_s - 0.5 < sender.answered_s < termination.kill_s
         await termination.ended()
@@ -254,10 +254,10 @@
 def test_request_with_less_than_the_aim_left_is_refused_at_once_and_not_forwarded() -> None:
     async def scenario() -> None:
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        made = accepting_gateway(server.address, settings=settings(1.0, aim_s=0.9))
-        termination = Termination(made, 1.0)
+        gw = accepting_gateway(server.address, settings=settings(1.0, aim_s=0.9))
+        termination = Termination(gw, 1.0)
         await termination.moment(0.05)
-        late = await Sender.to(made)
+        late = await Sender.to(gw)
         await termination.moment(0.65)
         late.send(ask("post", left="1.000"))
         status, head = await late.answer()
@@ -275,15 +275,15 @@
     # The connection to the server opens just after that time, and the request could be sent on it.
     async def scenario() -> None:
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        made = accepting_gateway(server.address, settings=settings(8.0))
+        gw = accepting_gateway(server.address, settings=settings(8.0))
         dials: list[Dial] = []
-        sender = await Sender.to(made)
+        sender = await Sender.to(gw)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Dial, "_on_writable", delay_connects(dials))
             sender.send(ask("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
-            termination = Termination(made, 8.0)
+            termination = Termination(gw, 8.0)
         stall_loop_until(termination.kill_s - 0.2)
         dial._on_writable()
         assert (await sender.answer())[0] == 503
@@ -296,15 +296,15 @@
 def test_attempt_started_after_sigterm_forwards_no_more_time_than_the_shutdown_leaves() -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(8.0))
-        sender = await Sender.to(made)
+        gw = accepting_gateway(server.address, settings=settings(8.0))
+        sender = await Sender.to(gw)
         dials: list[Dial] = []
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Dial, "_on_writable", delay_connects(dials))
             sender.send(ask("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
-            termination = Termination(made, 8.0)
+            termination = Termination(gw, 8.0)
         await termination.moment(0.5)
         dial._on_writable()
         assert (await sender.answer())[0] == 502
@@ -317,14 +317,14 @@
 def test_requests_in_the_backlog_of_a_full_client_table_are_answered_before_sigkill() -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(1.0), limits={"sockets": 64})
-        held = [await Sender.to(made) for _ in range(made.frontend.clients.budget)]
+        gw = accepting_gateway(server.address, settings=settings(1.0), limits={"sockets": 64})
+        held = [await Sender.to(gw) for _ in range(gw.frontend.clients.budget)]
         for sender in held:
             sender.send(ask(left="1.000"))
         await asyncio.sleep(0.01)
-        termination = Termination(made, 1.0)
+        termination = Termination(gw, 1.0)
         await termination.moment(0.35)
-        waiting = [await Sender.to(made) for _ in range(3)]
+        waiting = [await Sender.to(gw) for _ in range(3)]
         for sender in waiting:
             sender.send(ask(left="1.000"))
         for sender in [*held, *waiting]:
@@ -338,9 +338,9 @@
 def test_request_after_sigterm_before_the_first_accept_is_answered_before_sigkill() -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = gateway(server.address, settings=settings(1.0))  # discovery has not answered yet
-        sender = await Sender.to(made)
-        termination = Termination(made, 1.0)
+        gw = gateway(server.address, settings=settings(1.0))  # discovery has not answered yet
+        sender = await Sender.to(gw)
+        termination = Termination(gw, 1.0)
         await termination.moment(0.55)
         sender.send(ask("post", left="1.000"))
         assert (await sender.answer())[0] in (429, 502)
@@ -354,9 +354,9 @@
 def test_request_that_is_never_completed_is_rejected_before_sigkill(deadline_s: float) -> None:
     # The process used to exit without an answer to it, even if the rest was on its way.
     async def scenario() -> None:
-        made = accepting_gateway(settings=settings(deadline_s))
-        sender = await Sender.asking(made, ask()[:60])
-        termination = Termination(made, deadline_s)
+        gw = accepting_gateway(settings=settings(deadline_s))
+        sender = await Sender.asking(gw, ask()[:60])
+        termination = Termination(gw, deadline_s)
         status, head = await sender.answer()
         assert status == 503
         assert b"Retry-After" in head
@@ -371,20 +371,20 @@
     async def scenario() -> None:
         body = b"a" * 60_000
         server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        made = accepting_gateway(server.address, settings=settings(2.5))
+        gw = accepting_gateway(server.address, settings=settings(2.5))
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.setblocking(False)
-        await asyncio.get_running_loop().sock_connect(sock, made.frontend.address)
+        await asyncio.get_running_loop().sock_connect(sock, gw.frontend.address)
         await asyncio.sleep(0.01)
-        (client,) = made.frontend.clients.open
+        (client,) = gw.frontend.clients.open
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         sock.send(ask(left="2.500"))
         while not client.has_unsent_output():
             await asyncio.sleep(0.01)
-        termination = Termination(made, 2.5)
+        termination = Termination(gw, 2.5)
         await termination.moment(1.5)
-        assert not made.frontend.finished.is_set()  # the process would exit and the answer be lost
+        assert not gw.frontend.finished.is_set()  # the process would exit and the answer be lost
         reader, writer = await asyncio.open_connection(sock=sock)
         assert (await read_message(reader)).endswith(body)
         writer.close()
@@ -398,18 +398,18 @@
 ) -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(1.0))
-        termination = Termination(made, 1.0)
+        gw = accepting_gateway(server.address, settings=settings(1.0))
+        termination = Termination(gw, 1.0)
         await termination.moment(0.2)
-        late = await Sender.to(made)
+        late = await Sender.to(gw)
         await termination.moment(0.3)
 
         def fail(*_arguments: object) -> None:
             raise RuntimeError("raised by the test")
 
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(made.runtime._policy, "handle", fail)
-            made.runtime._handle_events()
+            patch.setattr(gw.runtime._policy, "handle", fail)
+            gw.runtime._handle_events()
         await termination.moment(0.75)
         late.send(ask("post", left="1.000"))
         assert (await late.answer())[0] == 502
@@ -422,11 +422,11 @@
 def test_restarted_decision_module_still_refuses_requests_with_too_little_time() -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(1.0, aim_s=0.9))
-        termination = Termination(made, 1.0)
+        gw = accepting_gateway(server.address, settings=settings(1.0, aim_s=0.9))
+        termination = Termination(gw, 1.0)
         await termination.moment(0.2)
-        late = await Sender.to(made)
-        made.runtime._restart_policy()
+        late = await Sender.to(gw)
+        gw.runtime._restart_policy()
         await termination.moment(0.75)
         late.send(ask("post", left="1.000"))
         assert (await late.answer())[0] == 429
@@ -439,10 +439,10 @@
 def test_process_that_stalls_as_the_answers_are_due_answers_before_sigkill() -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(8.0))
-        sender = await Sender.asking(made, ask("post", left="8.000"))
-        termination = Termination(made, 8.0)
-        schedule = made.frontend._shutdown.schedule
+        gw = accepting_gateway(server.address, settings=settings(8.0))
+        sender = await Sender.asking(gw, ask("post", left="8.000"))
+        termination = Termination(gw, 8.0)
+        schedule = gw.frontend._shutdown.schedule
         stall_loop_until((schedule.answers_due_ns - UNIX_NS) / clock.NS_PER_S + STALL_S)
         assert (await sender.answer())[0] == 502
         assert sender.answered_s < termination.kill_s
@@ -457,12 +457,12 @@
         changed = settings(8.0)
         changed["specifics"] |= {"has-counter": True, "count-wait-ns": 6 * clock.NS_PER_S}
         place = f"{counter.address[0]}:{counter.address[1]}"
-        made = accepting_gateway(server.address, settings=changed, counter=place)
+        gw = accepting_gateway(server.address, settings=changed, counter=place)
         sender = await Sender.asking(
-            made, ask("post", left="8.000", X_Contract="small", X_Metering="units=6,spread=3,first=1")
+            gw, ask("post", left="8.000", X_Contract="small", X_Metering="units=6,spread=3,first=1")
         )
         assert counter.requests
-        termination = Termination(made, 8.0)
+        termination = Termination(gw, 8.0)
         status, head = await sender.answer()
         assert status == 429
         assert b"Retry-After" in head
@@ -476,16 +476,16 @@
 def test_reload_does_not_change_a_running_shutdown(tmp_path: Path) -> None:
     async def scenario() -> None:
         server = await hanging_server()
-        made = accepting_gateway(server.address, settings=settings(1.0))
-        sender = await Sender.asking(made, ask("post", left="1.000"))
-        termination = Termination(made, 1.0)
-        schedule = made.frontend._shutdown.schedule
+        gw = accepting_gateway(server.address, settings=settings(1.0))
+        sender = await Sender.asking(gw, ask("post", left="1.000"))
+        termination = Termination(gw, 1.0)
+        schedule = gw.frontend._shutdown.schedule
         file = tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(server.address, settings=settings(60.0))))
-        made.reload({"NODE_CONFIG": str(file)})
-        assert made.frontend._shutdown.schedule is schedule
+        gw.reload({"NODE_CONFIG": str(file)})
+        assert gw.frontend._shutdown.schedule is schedule
         await termination.moment(0.35)
-        late = await Sender.to(made)
+        late = await Sender.to(gw)
         await termination.moment(0.9)
         late.send(ask("post", left="1.000"))
         for one in (sender, late):
@@ -570,10 +570,10 @@
     # before an asynchronous send, so connect and send at once.
     sock = socket.create_connection(process.address)
     sock.sendall(ask("post", left="0.500"))
-    newcomer = loopback.Client(*await asyncio.open_connection(sock=sock))
-    answers = [await one.answer() for one in (early, newcomer, late)]
+    latest = loopback.Client(*await asyncio.open_connection(sock=sock))
+    answers = [await one.answer() for one in (early, latest, late)]
     assert all(status in (200, 429, 502, 503) for status, _, _ in answers)
-    for one in (early, newcomer, late):
+    for one in (early, latest, late):
         assert await one.reader.read() == b""
     await asyncio.to_thread(process.wait)
     return len(answers)
