--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -148,8 +148,8 @@
     def _resume(self) -> None:
         assert self.transport is not None
         self.reading_paused = False
-        began_at = clock.now()
-        self.arrivals.resume(began_at, emptied=not self.has_unread_input())
+        began_at_ns = clock.now()
+        self.arrivals.resume(began_at_ns, emptied=not self.has_unread_input())
         self.transport.resume_reading()
 
     def _reject(self, rejection: RequestRejected) -> None:
@@ -357,22 +357,25 @@
         self.owner.reserve_body_bytes(-self.held_body_bytes)
         self.held_body_bytes = 0
 
-    def check_timeouts(self, now: int) -> None:
-        """Close or reject a client that is silent, stops within a request, or does not read its answer."""
-        transport, waited = self.transport, now - self.state_since_ns
+    def check_timeouts(self, now_ns: int) -> None:
+        """Close or reject a client that is silent, stops within a request, or does not read its answer.
+
+        Also notices a client that has disconnected while reading is paused.
+        """
+        transport, waited_ns = self.transport, now_ns - self.state_since_ns
         if transport is not None and self.has_abandoned_request():
             transport.abort()
         if transport is None or self.request_id is not None:
             return
         if self.closing or transport.is_closing() or self.has_unsent_output():
-            if waited >= ANSWER_READ_TIMEOUT_NS:
+            if waited_ns >= ANSWER_READ_TIMEOUT_NS:
                 transport.abort()
         elif self.receiving:
-            if waited >= REQUEST_TIMEOUT_NS:
+            if waited_ns >= REQUEST_TIMEOUT_NS:
                 self._reject(RequestRejected(408, "the request did not come whole"))
                 self._handle_next()
         elif (
-            waited >= (IDLE_TIMEOUT_NS if self.has_requested else REQUEST_TIMEOUT_NS)
+            waited_ns >= (IDLE_TIMEOUT_NS if self.has_requested else REQUEST_TIMEOUT_NS)
             and not self.has_unread_input()
         ):
             transport.close()
