--- a/gingerworks/gateway/config.py
+++ b/gingerworks/gateway/config.py
@@ -37,7 +37,7 @@
     """Split ``host:port``."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ConfigError(f"{what}: '{str(text)[: wire.SHOWN]}' is not host:port")
+        raise ConfigError(f"{what}: '{str(text)[: wire.MAX_SHOWN_CHARS]}' is not host:port")
     return host.strip("[]"), int(port)
 
 
@@ -71,7 +71,7 @@
     fields = wire.Fields(f"{path}={value}" for path, value in flatten(raw["settings"]))
     try:
         settings = wire.settings_from(fields)
-        idle_ns = fields.whole("limits.conn-idle-ns", "15000000000")
+        idle_ns = fields.integer("limits.conn-idle-ns", "15000000000")
     except ValueError as fault:
         raise ConfigError(str(fault)) from None
     if idle_ns <= 0:
@@ -82,12 +82,14 @@
     sockets = limits.get("sockets", DEFAULT_SOCKETS) if isinstance(limits, dict) else DEFAULT_SOCKETS
     if not isinstance(sockets, int) or sockets < 64:
         raise ConfigError(
-            f"limits.sockets: '{str(sockets)[: wire.SHOWN]}' is not a whole number of at least 64"
+            f"limits.sockets: '{str(sockets)[: wire.MAX_SHOWN_CHARS]}' is not a whole number of at least 64"
         )
     try:
         seed = int(str(raw.get("seed", "0")), 16)
     except ValueError:
-        raise ConfigError(f"seed: '{str(raw['seed'])[: wire.SHOWN]}' is not a hexadecimal number") from None
+        raise ConfigError(
+            f"seed: '{str(raw['seed'])[: wire.MAX_SHOWN_CHARS]}' is not a hexadecimal number"
+        ) from None
     return Config(
         name=str(raw.get("name", "gateway")),
         listen=address_from(raw.get("listen", ""), "listen"),
--- a/gingerworks/simhost.py
+++ b/gingerworks/simhost.py
@@ -1,4 +1,10 @@
-"""Adapter: hosts one ``Policy`` for each instance on the simulator's wire; translation only."""
+"""Adapter between the simulator and the decisions: runs one ``Policy`` for each simulated gateway (instance).
+
+The simulator sends batches of lines to standard input: a ``BATCH`` header with the time, then events, after a
+``SELECT`` of the instance that they are for, then ``EOF_BATCH``.  The adapter passes each instance its events,
+writes the actions to standard output and ends its reply to a batch with ``OK``.  If an instance raises an
+exception, it reports ``GIVE_IN`` and skips the rest of the batch; after a malformed line it exits.
+"""
 
 from __future__ import annotations
 
@@ -11,110 +17,112 @@
 
 
 class Host:
-    """Feeds batches of lines to the instances and gathers their actions."""
+    """Passes the events of a batch to the instances and collects their actions."""
 
     def __init__(self) -> None:
         self._policies: dict[int, Policy] = {}
         self._events: dict[int, list[interface.Event]] = {}
-        self._at: int | None = None
-        self._ended = False
+        self._instance: int | None = None
+        self._end_was_read = False
 
-    def batch(self, header: wire.Fields, lines: Iterator[str]) -> list[str]:
-        """Reply to one batch, given its header and the lines after it."""
-        now = header.whole("sim-time-ns", "0")
+    def reply_to(self, header: wire.Fields, lines: Iterator[str]) -> list[str]:
+        """The lines of the reply to one batch, given its header and an iterator over the lines after it."""
+        now = header.integer("sim-time-ns", "0")
         reply: list[str] = []
-        self._events, self._at, self._ended = {}, None, False
+        self._events, self._instance, self._end_was_read = {}, None, False
         try:
-            self._read(now, lines)
-            for at in self._events:
-                self._flush(now, at, reply)
+            self._read_lines(now, lines)
+            for instance in self._events:
+                self._append_actions(now, instance, reply)
         except wire.WireError:
             raise
-        except Exception as fault:
-            if self._at is not None and f"SPEAKING i={self._at}" not in reply:
-                reply.append(f"SPEAKING i={self._at}")
-            reply.append(f"GIVE_IN what={wire.one_line(f'{type(fault).__name__}: {fault}')}")
-            while not self._ended and next(lines, "EOF_BATCH") != "EOF_BATCH":
-                pass  # the rest of the batch is still to be taken off the wire
-        reply.append(f"OK frame={header.whole('frame')}")
+        except Exception as error:
+            if self._instance is not None and f"SPEAKING i={self._instance}" not in reply:
+                reply.append(f"SPEAKING i={self._instance}")
+            reply.append(f"GIVE_IN what={wire.one_line(f'{type(error).__name__}: {error}')}")
+            while not self._end_was_read and next(lines, "EOF_BATCH") != "EOF_BATCH":
+                pass  # the rest of the failed batch must be read too
+        reply.append(f"OK frame={header.integer('frame')}")
         return reply
 
-    def _read(self, now: int, lines: Iterator[str]) -> None:
+    def _read_lines(self, now: int, lines: Iterator[str]) -> None:
         for line in lines:
-            word, *parts = line.split(" ")
+            word, *pairs = line.split(" ")
             if word == "EOF_BATCH":
-                self._ended = True
+                self._end_was_read = True
                 return
-            self._take(now, word, parts, lines)
+            self._handle_line(now, word, pairs, lines)
         raise wire.WireError("the batch has no end")
 
-    def _take(self, now: int, word: str, parts: list[str], lines: Iterator[str]) -> None:
+    def _handle_line(self, now: int, word: str, pairs: list[str], lines: Iterator[str]) -> None:
         if word == "SELECT":
-            self._at = wire.Fields(parts).whole("i")
+            self._instance = wire.Fields(pairs).integer("i")
         elif word == "BATCH" or word == "ROW":
             raise wire.WireError(f"{word} out of place")
-        elif self._at is None:
+        elif self._instance is None:
             raise wire.WireError(f"{word} before any SELECT")
         elif word == "CREATE":
-            fields = wire.Fields(parts)
-            self._policies[self._at] = Policy(fields.whole("entropy"), wire.settings_from(fields), now)
-            self._events[self._at] = []
+            fields = wire.Fields(pairs)
+            self._policies[self._instance] = Policy(
+                fields.integer("entropy"), wire.settings_from(fields), now
+            )
+            self._events[self._instance] = []
         elif word == "TEARDOWN":
-            self._policies.pop(self._at, None)
-            self._events.pop(self._at, None)
+            self._policies.pop(self._instance, None)
+            self._events.pop(self._instance, None)
         elif word == "BACKENDS_CHANGED":
-            self._take_list(wire.Fields(parts), lines)
-        elif word in wire.WORDS:
-            self._events.setdefault(self._at, []).append(wire.event_from(word, wire.Fields(parts)))
+            self._handle_list(wire.Fields(pairs), lines)
+        elif word in wire.EVENT_WORDS:
+            self._events.setdefault(self._instance, []).append(wire.event_from(word, wire.Fields(pairs)))
 
-    def _take_list(self, fields: wire.Fields, lines: Iterator[str]) -> None:
+    def _handle_list(self, fields: wire.Fields, lines: Iterator[str]) -> None:
         rows = []
-        for _ in range(fields.whole("records", "0")):
-            word, *parts = next(lines, "").split(" ")
+        for _ in range(fields.integer("records", "0")):
+            word, *pairs = next(lines, "").split(" ")
             if word != "ROW":
                 raise wire.WireError("a ROW is missing")
-            rows.append(wire.server_from(wire.Fields(parts)))
-        assert self._at is not None
+            rows.append(wire.server_from(wire.Fields(pairs)))
+        assert self._instance is not None
         event = interface.ServersChanged(wire.mode_from(fields), tuple(rows))
-        self._events.setdefault(self._at, []).append(event)
+        self._events.setdefault(self._instance, []).append(event)
 
-    def _flush(self, now: int, at: int, reply: list[str]) -> None:
-        self._at = at
-        policy = self._policies.get(at)
+    def _append_actions(self, now: int, instance: int, reply: list[str]) -> None:
+        self._instance = instance
+        policy = self._policies.get(instance)
         if policy is None:
             return
-        actions = policy.handle(now, self._events[at])
+        actions = policy.handle(now, self._events[instance])
         if actions:
-            reply.append(f"SPEAKING i={at}")
+            reply.append(f"SPEAKING i={instance}")
             reply.extend(wire.action_line(action) for action in actions)
 
 
 def serve(source: TextIO, sink: TextIO) -> int:
-    """Answer batches until the input ends; the exit code is 0 unless a line was malformed."""
-    number = 0
+    """Answer batches until the input ends.  The exit code is 0, or 2 after a malformed line."""
+    line_number = 0
 
-    def numbered() -> Iterator[str]:
-        nonlocal number
+    def numbered_lines() -> Iterator[str]:
+        nonlocal line_number
         for line in source:
-            number += 1
+            line_number += 1
             yield line.rstrip("\r\n")
 
-    lines, host = numbered(), Host()
+    lines, host = numbered_lines(), Host()
     try:
         for line in lines:
-            word, *parts = line.split(" ")
+            word, *pairs = line.split(" ")
             if word != "BATCH":
                 raise wire.WireError(f"BATCH expected, not '{word}'")
-            sink.write("\n".join(host.batch(wire.Fields(parts), lines)) + "\n")
+            sink.write("\n".join(host.reply_to(wire.Fields(pairs), lines)) + "\n")
             sink.flush()
-    except wire.WireError as fault:
-        print(f"line {number}: {fault}", file=sys.stderr)
+    except wire.WireError as error:
+        print(f"line {line_number}: {error}", file=sys.stderr)
         return 2
     return 0
 
 
 def main() -> int:
-    """Serve standard input and output."""
+    """Answer batches from standard input on standard output."""
     return serve(sys.stdin, sys.stdout)
 
 
--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -1,4 +1,9 @@
-"""Translation between the simulator's lines and the types of ``interface``; no decision is taken here."""
+"""Translation between the simulator's protocol and the types of ``interface``; it makes no decision.
+
+A line of the protocol is a word, such as ``REQUEST``, followed by ``name=value`` pairs; all are separated by
+spaces.  A setting is named by a path, such as ``limits.max-open``.  The gateway's configuration file has the
+same paths, so that ``settings_from`` reads its settings too.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +31,7 @@
     "unused": interface.Status.UNUSED,
 }
 PHASES = {0: interface.Phase.GONE, 1: interface.Phase.READY, 2: interface.Phase.DRAINING}
-WORDS = frozenset(("REQUEST", "REPLY", "LAPSED", "REMINDER", "STARTED", "ADDED", "CHECK_RESULT"))
+EVENT_WORDS = frozenset(("REQUEST", "REPLY", "LAPSED", "REMINDER", "STARTED", "ADDED", "CHECK_RESULT"))
 MODES = {
     0: interface.ListMode.FAILED,
     1: interface.ListMode.DELTA,
@@ -34,8 +39,8 @@
     4: interface.ListMode.CACHED,
 }
 
-
-# The settings that ``Settings`` checks, as a start message and the configuration file name them.
+# Paths of the settings that ``Settings`` checks, by its own names for them.  Where none is given, the path is
+# the name.
 FILE_NAMES = {
     "gateways": "peers-total",
     "tick_ns": "tick-ns",
@@ -58,15 +63,17 @@
     "plans.burst": "tariffs.most-at-once",
     "plans.ceiling_burst": "tariffs.ceiling-burst",
 }
-SHOWN = 40  # characters of a wrong value: enough to find it, and a message stays one plain line
+MAX_SHOWN_CHARS = (
+    40  # of a wrong value in an error message: enough to find it, and the message stays one plain line
+)
 
 
 class WireError(ValueError):
-    """A line breaks the wire's rules; the text says how."""
+    """A line or a field does not conform to the protocol; the message says how."""
 
 
 class Fields:
-    """The name=value pairs of one line."""
+    """The ``name=value`` pairs of one line."""
 
     def __init__(self, parts: Iterable[str]) -> None:
         self._values: dict[str, str] = {}
@@ -76,45 +83,45 @@
                 raise WireError(f"'{part}' is not name=value")
             self._values[name] = value
 
-    def text(self, name: str, absent: str | None = None) -> str:
-        """A value as written; it must be there unless ``absent`` is given."""
-        value = self._values.get(name, absent)
+    def text(self, name: str, default: str | None = None) -> str:
+        """A value as text; it must be there unless ``default`` is given."""
+        value = self._values.get(name, default)
         if value is None:
             raise WireError(f"field {name} is missing")
         return value
 
-    def number(self, name: str, absent: str | None = None) -> float:
-        """A finite number."""
-        text = self.text(name, absent)
+    def number(self, name: str, default: str | None = None) -> float:
+        """A value that must be a finite number."""
+        text = self.text(name, default)
         try:
             value = float(text)
         except ValueError:
-            raise WireError(f"field {name}: '{_shown(text)}' is not a number") from None
+            raise WireError(f"field {name}: '{_truncated(text)}' is not a number") from None
         if not -1e300 < value < 1e300:
-            raise WireError(f"field {name}: '{_shown(text)}' is not a finite number")
+            raise WireError(f"field {name}: '{_truncated(text)}' is not a finite number")
         return value
 
-    def whole(self, name: str, absent: str | None = None) -> int:
-        """A whole number."""
-        text = self.text(name, absent)
+    def integer(self, name: str, default: str | None = None) -> int:
+        """A value that must be an integer."""
+        text = self.text(name, default)
         try:
             return int(text)
         except ValueError:
-            raise WireError(f"field {name}: '{_shown(text)}' is not a whole number") from None
+            raise WireError(f"field {name}: '{_truncated(text)}' is not a whole number") from None
 
     def flag(self, name: str) -> bool:
-        """A truth value; absent is false."""
+        """A boolean; a missing one is false."""
         return self.text(name, "0") in ("1", "true")
 
-    def choice(self, name: str, table: dict[str, _T], absent: str | None = None) -> _T:
-        """A value that must be in the table."""
-        text = self.text(name, absent)
+    def choice(self, name: str, table: dict[str, _T], default: str | None = None) -> _T:
+        """The entry of ``table`` for a value, which must be one of its keys."""
+        text = self.text(name, default)
         if text not in table:
-            raise WireError(f"field {name}: '{_shown(text)}' is not known")
+            raise WireError(f"field {name}: '{_truncated(text)}' is not known")
         return table[text]
 
     def report(self) -> tuple[tuple[str, float], ...]:
-        """The load report: pairs set apart by commas; what is no number is left out."""
+        """The load report: comma-separated ``name:number`` pairs; other items are skipped."""
         pairs = []
         for item in self.text("feedback", "").split(","):
             name, _, value = item.partition(":")
@@ -126,171 +133,173 @@
 
 
 def settings_from(fields: Fields) -> interface.Settings:
-    """The settings of a start message; a missing one raises ``SettingsError``."""
+    """The settings of a start message; ``SettingsError`` if one is missing, malformed or not allowed."""
     try:
         return _settings(fields)
-    except WireError as fault:
-        raise interface.SettingsError(f"settings: {fault}") from None
-    except interface.SettingsError as fault:
-        # Whoever reads it knows the file's names only.
-        name = FILE_NAMES.get(fault.setting, fault.setting)
+    except WireError as error:
+        raise interface.SettingsError(f"settings: {error}") from None
+    except interface.SettingsError as error:
+        # The reader of the message knows the names in the configuration file only.
+        name = FILE_NAMES.get(error.setting, error.setting)
         raise interface.SettingsError(
             f"setting {name} is out of range or contradicts another", name
         ) from None
 
 
-def _shown(text: str) -> str:
-    return text if len(text) <= SHOWN else f"{text[:SHOWN]}..."
+def _truncated(text: str) -> str:
+    return text if len(text) <= MAX_SHOWN_CHARS else f"{text[:MAX_SHOWN_CHARS]}..."
 
 
-def _settings(f: Fields) -> interface.Settings:
-    stat_names = f.text("stats.names", "")
+def _settings(fields: Fields) -> interface.Settings:
+    stat_names = fields.text("stats.names", "")
     return interface.Settings(
-        me=f.whole("me"),
-        gateways=f.whole("peers-total"),
-        zone=f.text("locality", ""),
-        tick_ns=f.whole("tick-ns"),
-        discovery_on_request=f.text("discovery", "pushed") == "on_request",
+        me=fields.integer("me"),
+        gateways=fields.integer("peers-total"),
+        zone=fields.text("locality", ""),
+        tick_ns=fields.integer("tick-ns"),
+        discovery_on_request=fields.text("discovery", "pushed") == "on_request",
         report_names=tuple(name for name in stat_names.split(",") if name),
-        probe_reports=f.text("stats.source", "none") == "probe",
-        has_counter=f.flag("specifics.has-counter"),
-        counter_wait_ns=f.whole("specifics.count-wait-ns", "0"),
-        counter_price=f.number("specifics.count-fee", "0"),
-        meter_ns=f.whole("specifics.metering-ns", "0"),
-        max_units=f.number("specifics.max-units"),
-        cost_after=f.flag("specifics.cost-after"),
-        price_probe=f.number("prices.probe", "0"),
-        price_cross_zone=f.number("prices.cross-zone", "0"),
-        price_waste=f.number("prices.waste", "0"),
-        price_late=f.number("prices.late-fail", "0"),
-        classes=tuple(_request_class(f, f"classes.{k}.") for k in range(f.whole("classes.count"))),
-        plans=tuple(_plan(f, f"tariffs.{k}.") for k in range(f.whole("tariffs.count"))),
+        probe_reports=fields.text("stats.source", "none") == "probe",
+        has_counter=fields.flag("specifics.has-counter"),
+        counter_wait_ns=fields.integer("specifics.count-wait-ns", "0"),
+        counter_price=fields.number("specifics.count-fee", "0"),
+        meter_ns=fields.integer("specifics.metering-ns", "0"),
+        max_units=fields.number("specifics.max-units"),
+        cost_after=fields.flag("specifics.cost-after"),
+        price_probe=fields.number("prices.probe", "0"),
+        price_cross_zone=fields.number("prices.cross-zone", "0"),
+        price_waste=fields.number("prices.waste", "0"),
+        price_late=fields.number("prices.late-fail", "0"),
+        classes=tuple(
+            _request_class(fields, f"classes.{k}.") for k in range(fields.integer("classes.count"))
+        ),
+        plans=tuple(_plan(fields, f"tariffs.{k}.") for k in range(fields.integer("tariffs.count"))),
         rules=interface.Rules(
-            drain_grace_ns=f.whole("rules.drain-grace-ns"),
-            cold_ns=f.whole("rules.cold-ns"),
-            start_capacity=f.number("rules.start-capacity"),
-            overload_factor=f.number("rules.overload-factor"),
-            fall_ns=f.whole("rules.fall-ns"),
-            ask_every_ns=f.whole("rules.ask-every-ns", "0"),
+            drain_grace_ns=fields.integer("rules.drain-grace-ns"),
+            cold_ns=fields.integer("rules.cold-ns"),
+            start_capacity=fields.number("rules.start-capacity"),
+            overload_factor=fields.number("rules.overload-factor"),
+            fall_ns=fields.integer("rules.fall-ns"),
+            ask_every_ns=fields.integer("rules.ask-every-ns", "0"),
         ),
         limits=interface.Limits(
-            max_attempts=f.whole("limits.attempts-cap"),
-            hedging=f.flag("limits.second-copies"),
-            may_cancel=f.flag("limits.may-cancel"),
-            probes=f.flag("limits.probes"),
-            may_send_retry_after=f.flag("limits.retry-after"),
-            max_retry_after_ns=f.whole("limits.max-retry-after-ns", "0"),
-            max_open=f.whole("limits.max-open", "0"),
-            connect_timeout_ns=f.whole("limits.connect-timeout-ns", "250000000"),
+            max_attempts=fields.integer("limits.attempts-cap"),
+            hedging=fields.flag("limits.second-copies"),
+            may_cancel=fields.flag("limits.may-cancel"),
+            probes=fields.flag("limits.probes"),
+            may_send_retry_after=fields.flag("limits.retry-after"),
+            max_retry_after_ns=fields.integer("limits.max-retry-after-ns", "0"),
+            max_open=fields.integer("limits.max-open", "0"),
+            connect_timeout_ns=fields.integer("limits.connect-timeout-ns", "250000000"),
         ),
     )
 
 
-def _request_class(f: Fields, at: str) -> interface.RequestClass:
+def _request_class(fields: Fields, prefix: str) -> interface.RequestClass:
     return interface.RequestClass(
-        name=f.text(at + "name"),
-        effect=f.choice(at + "effect", EFFECTS),
-        dedup_group=f.choice(at + "dedup-scope", GROUPS, "cell"),
-        dedup_window_ns=f.whole(at + "window-ns", "0"),
-        aim_ns=f.whole(at + "on-time-ns"),
-        deadline_ns=f.whole(at + "hard-limit-ns"),
-        worth=f.number(at + "worth"),
-        late_worth=f.number(at + "late-value", "0"),
-        aim_stretch=f.number(at + "aim-stretch", "0"),
+        name=fields.text(prefix + "name"),
+        effect=fields.choice(prefix + "effect", EFFECTS),
+        dedup_group=fields.choice(prefix + "dedup-scope", GROUPS, "cell"),
+        dedup_window_ns=fields.integer(prefix + "window-ns", "0"),
+        aim_ns=fields.integer(prefix + "on-time-ns"),
+        deadline_ns=fields.integer(prefix + "hard-limit-ns"),
+        worth=fields.number(prefix + "worth"),
+        late_worth=fields.number(prefix + "late-value", "0"),
+        aim_stretch=fields.number(prefix + "aim-stretch", "0"),
     )
 
 
-def _plan(f: Fields, at: str) -> interface.Plan:
+def _plan(fields: Fields, prefix: str) -> interface.Plan:
     return interface.Plan(
-        name=f.text(at + "name"),
-        rate=f.number(at + "units-per-s"),
-        burst=f.number(at + "most-at-once"),
-        max_out=f.whole(at + "max-out", "0"),
-        price=f.number(at + "price", "1"),
-        excess_worth=f.number(at + "excess-worth", "0"),
-        overrun_cost=f.number(at + "overrun-cost", "0"),
-        ceiling_rate=f.number(at + "ceiling-rate", "0"),
-        ceiling_burst=f.number(at + "ceiling-burst", "0"),
-        ceiling_slack=f.number(at + "cap-slack", "0"),
+        name=fields.text(prefix + "name"),
+        rate=fields.number(prefix + "units-per-s"),
+        burst=fields.number(prefix + "most-at-once"),
+        max_out=fields.integer(prefix + "max-out", "0"),
+        price=fields.number(prefix + "price", "1"),
+        excess_worth=fields.number(prefix + "excess-worth", "0"),
+        overrun_cost=fields.number(prefix + "overrun-cost", "0"),
+        ceiling_rate=fields.number(prefix + "ceiling-rate", "0"),
+        ceiling_burst=fields.number(prefix + "ceiling-burst", "0"),
+        ceiling_slack=fields.number(prefix + "cap-slack", "0"),
     )
 
 
-def server_from(f: Fields) -> interface.Server:
-    """One row of a server list."""
-    phase = f.whole("phase")
+def server_from(fields: Fields) -> interface.Server:
+    """The server in one ``ROW`` of a server list."""
+    phase = fields.integer("phase")
     if phase not in PHASES:
         raise WireError(f"field phase: '{phase}' is not known")
     return interface.Server(
-        name=f.text("server"),
+        name=fields.text("server"),
         phase=PHASES[phase],
-        zone=f.text("zone", ""),
-        cell=f.whole("block", "0"),
-        started_ns=f.whole("online-since-ns", "0"),
-        size=f.number("size", "1"),
+        zone=fields.text("zone", ""),
+        cell=fields.integer("block", "0"),
+        started_ns=fields.integer("online-since-ns", "0"),
+        size=fields.number("size", "1"),
     )
 
 
-def mode_from(f: Fields) -> interface.ListMode:
-    """The kind of a list event."""
-    mode = f.whole("mode")
+def mode_from(fields: Fields) -> interface.ListMode:
+    """The mode of a ``BACKENDS_CHANGED`` line."""
+    mode = fields.integer("mode")
     if mode not in MODES:
         raise WireError(f"field mode: '{mode}' is not known")
     return MODES[mode]
 
 
-def event_from(word: str, f: Fields) -> interface.Event:
-    """One event whose word is in ``WORDS``."""
+def event_from(word: str, fields: Fields) -> interface.Event:
+    """The event of a line whose word is in ``EVENT_WORDS``."""
     if word == "REQUEST":
         return interface.Request(
-            id=f.whole("op-id"),
-            class_name=f.text("qos"),
-            plan=f.text("terms"),
-            customer=f.text("caller"),
-            entries=f.whole("n-entries", "1"),
-            ttl_ns=f.whole("ttl-ns"),
-            units=f.number("quota-units", "1"),
-            is_retry=f.flag("is-retry"),
+            id=fields.integer("op-id"),
+            class_name=fields.text("qos"),
+            plan=fields.text("terms"),
+            customer=fields.text("caller"),
+            entries=fields.integer("n-entries", "1"),
+            ttl_ns=fields.integer("ttl-ns"),
+            units=fields.number("quota-units", "1"),
+            is_retry=fields.flag("is-retry"),
         )
     if word == "REPLY":
-        used, billed = f.number("used", "0"), f.number("billed", "0")
+        used, billed = fields.number("used", "0"), fields.number("billed", "0")
         return interface.Outcome(
-            id=f.whole("op-id"),
-            attempt=f.whole("go", "0"),
-            status=f.choice("status", STATUSES),
-            elapsed_ns=f.whole("cost-time-ns", "0"),
-            terminal=f.flag("terminal"),
+            id=fields.integer("op-id"),
+            attempt=fields.integer("go", "0"),
+            status=fields.choice("status", STATUSES),
+            elapsed_ns=fields.integer("cost-time-ns", "0"),
+            terminal=fields.flag("terminal"),
             used_percent=used - 1 if used > 0 else None,
             billed_units=billed if billed > 0 else None,
-            report=f.report(),
+            report=fields.report(),
         )
     if word == "LAPSED":
-        return interface.RequestCancelled(f.whole("op-id"))
+        return interface.RequestCancelled(fields.integer("op-id"))
     if word == "REMINDER":
-        return interface.Timer(f.whole("name", "0"))
+        return interface.Timer(fields.integer("name", "0"))
     if word == "STARTED":
-        return interface.Started(f.whole("op-id"), f.whole("go", "0"))
+        return interface.Started(fields.integer("op-id"), fields.integer("go", "0"))
     if word == "ADDED":
         return interface.Counted(
-            name=f.whole("tally-id"),
-            status=f.choice("status", STATUSES),
-            total=f.number("level", "0"),
-            elapsed_ns=f.whole("cost-time-ns", "0"),
+            name=fields.integer("tally-id"),
+            status=fields.choice("status", STATUSES),
+            total=fields.number("level", "0"),
+            elapsed_ns=fields.integer("cost-time-ns", "0"),
         )
     return interface.Probed(
-        server=f.text("server"),
-        status=f.choice("status", STATUSES),
-        elapsed_ns=f.whole("cost-time-ns", "0"),
-        report=f.report(),
+        server=fields.text("server"),
+        status=fields.choice("status", STATUSES),
+        elapsed_ns=fields.integer("cost-time-ns", "0"),
+        report=fields.report(),
     )
 
 
 def action_line(action: interface.Action) -> str:
-    """One action as a line."""
+    """The line for an action."""
     return FORMATS[type(action)](action)
 
 
 def one_line(text: str) -> str:
-    """Text without line breaks, as the wire wants it."""
+    """Text with each run of whitespace, line breaks too, replaced by one space, as the protocol requires."""
     return " ".join(text.split())
 
 
