--- a/gingerworks/simhost.py
+++ b/gingerworks/simhost.py
@@ -1,7 +1,7 @@
 """Adapter between the simulator and the decisions: runs one ``Policy`` for each simulated gateway (instance).
 
 The simulator sends batches of lines to standard input: a ``BATCH`` header with the time, then events, after a
-``SELECT`` of the instance that they are for, then ``EOF_BATCH``.  The adapter passes each instance its events,
+``SELECT`` of the instance that they are for, then ``EOF_BATCH``.  The adapter passes them to the instances,
 writes the actions to standard output and ends its reply to a batch with ``OK``.  If an instance raises an
 exception, it reports ``GIVE_IN`` and skips the rest of the batch; after a malformed line it exits.
 """
