--- /dev/null
+++ b/gingerworks/gateway/connection_owner.py
@@ -0,0 +1,63 @@
+"""The interface through which a client connection calls its owner, the front end.
+
+It exists because the front end imports the connection: the connection can't import the front end in turn.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol, TypeVar
+
+from gingerworks.gateway.requests import Message
+
+Connection = TypeVar("Connection", contravariant=True)
+
+
+class ConnectionOwner(Protocol[Connection]):
+    """Keeps the table of client connections and passes their requests on."""
+
+    @property
+    def loop(self) -> asyncio.AbstractEventLoop:
+        """The event loop of all connections."""
+
+    @property
+    def read_buffer(self) -> memoryview:
+        """The buffer for a connection's next read; shared by all, so each read is parsed at once."""
+
+    @property
+    def shutting_down(self) -> bool:
+        """Whether the graceful shutdown has begun."""
+
+    @property
+    def backlog_empty_at_ns(self) -> int:
+        """When the listen backlog was last found empty: no connection accepted since is older."""
+
+    def connection_attached(self) -> None:
+        """An accepted connection has its transport now."""
+
+    def request_started(self, client: Connection) -> None:
+        """A request is being handled on this connection."""
+
+    def connection_idle(self, client: Connection) -> None:
+        """All requests on this connection are answered; it stays open for the next one."""
+
+    def connection_closing(self, client: Connection) -> None:
+        """The last answer on this connection was written."""
+
+    def connection_closed(self, client: Connection) -> None:
+        """This connection has ended."""
+
+    def submit_request(self, client: Connection, message: Message) -> int | None:
+        """Validate a request and pass it on for handling.
+
+        Returns its id, or None for a health check; raises ``RequestRejected`` if it is not valid.
+        """
+
+    def request_cancelled(self, request_id: int) -> None:
+        """The client of a request has disconnected before the answer."""
+
+    def reserve_body_bytes(self, size: int) -> bool:
+        """Count body bytes in memory, or release them (``size`` below 0); False if that exceeds the limit."""
+
+    def keeps_reading(self) -> bool:
+        """During shutdown: whether further requests on open connections are still read."""
--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -1,4 +1,10 @@
-"""Opening one TCP connection without a task, on a socket whose every byte the caller controls."""
+"""Opens outgoing TCP connections to servers and to the shared counter.
+
+``Dial`` opens one non-blocking connection with a time-out and calls back once it is up or has failed.  It
+hands over the plain socket, so that the caller controls every byte that is sent and knows which ones the
+kernel has accepted.  A failure is classified: either this host could not connect, or the other end could not
+be reached.
+"""
 
 from __future__ import annotations
 
@@ -9,59 +15,59 @@
 from enum import Enum
 
 from gingerworks.gateway.config import Address
-from gingerworks.gateway.system_errors import DIAL_SHORTAGE, NO_ROUTE, explain
+from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
-# Interrupted by a signal, a connection goes on coming up all the same (connect(2)).
-UNDER_WAY = (0, errno.EINPROGRESS, errno.EINTR)
+# After EINTR the connection is still established in the background (connect(2)).
+CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)
 
 
 class DialFailure(Enum):
-    """Whose fault it is that a connection did not come up."""
+    """Which side prevented a connection."""
 
-    LOCAL = "this host could not dial; it says nothing of the peer"
-    UNREACHABLE = "the peer refused, or the path to it does not work"
+    LOCAL = "this host could not connect; the peer may be well"
+    UNREACHABLE = "the peer refused the connection, or the path to it is broken"
 
 
 class DialError(Exception):
-    """A connection did not come up; the text says why and what an operator can do."""
+    """A connection could not be established; the text says why and what an operator can do."""
 
     def __init__(self, failure: DialFailure, text: str, code: int = 0) -> None:
-        """``code`` is the system's error number, where a system call failed."""
+        """``code`` is the errno of the failed system call, or 0 if no call failed."""
         super().__init__(text)
         self.failure = failure
         self.code = code
 
     @classmethod
     def from_errno(cls, failure: DialFailure, code: int) -> DialError:
-        """The failure of a system call."""
-        return cls(failure, explain(code), code)
+        """Describe the failure of a system call."""
+        return cls(failure, describe_error(code), code)
 
 
 class Dial:
-    """A connection on its way up: either ``done`` gets the socket or ``failed`` the reason, once."""
+    """A connection being established: calls ``on_connected`` or ``on_failed``, once, unless cancelled."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        seconds: float,
-        done: Callable[[socket.socket], None],
-        failed: Callable[[DialError], None],
+        timeout_s: float,
+        on_connected: Callable[[socket.socket], None],
+        on_failed: Callable[[DialError], None],
     ) -> None:
-        """Begin at once; an error that shows right away raises ``DialError``."""
+        """Start to connect; an immediate failure raises ``DialError``."""
         self._loop = loop
-        self._done = done
-        self._failed = failed
-        self._socket = _begin(address)
+        self._on_connected = on_connected
+        self._on_failed = on_failed
+        self._socket = _start_connecting(address)
         try:
-            loop.add_writer(self._socket.fileno(), self._writable)
+            loop.add_writer(self._socket.fileno(), self._on_writable)
         except OSError as fault:
             self._socket.close()
             raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
-        self._timer = loop.call_later(seconds, self._time_over)
+        self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
-        """Give it up; neither callback is called any more."""
+        """Give up; no callback is called any more."""
         self._stop()
         self._socket.close()
 
@@ -69,28 +75,28 @@
         self._timer.cancel()
         self._loop.remove_writer(self._socket.fileno())
 
-    def _time_over(self) -> None:
-        self._fail(DialError(DialFailure.UNREACHABLE, "it did not come up in time"))
+    def _on_timeout(self) -> None:
+        self._fail(DialError(DialFailure.UNREACHABLE, "timed out while connecting"))
 
     def _fail(self, error: DialError) -> None:
         self.cancel()
-        self._failed(error)
+        self._on_failed(error)
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         try:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as fault:
-            # Whether it came up is not known; nothing has been sent on it.
+            # It is unknown whether the connection was established, but nothing was sent on it.
             return self._fail(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
         if code:
-            failure = DialFailure.LOCAL if code in DIAL_SHORTAGE else DialFailure.UNREACHABLE
+            failure = DialFailure.LOCAL if code in LOCAL_CONNECT_ERRORS else DialFailure.UNREACHABLE
             return self._fail(DialError.from_errno(failure, code))
         self._stop()
-        return self._done(self._socket)
+        return self._on_connected(self._socket)
 
 
-def _begin(address: Address) -> socket.socket:
-    """A socket whose connection is on its way up."""
+def _start_connecting(address: Address) -> socket.socket:
+    """A socket whose connection is being established."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -102,8 +108,8 @@
         sock.close()
         raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
     code = sock.connect_ex(address)
-    if code in UNDER_WAY:
+    if code in CONNECTING:
         return sock
     sock.close()
-    local = code in DIAL_SHORTAGE or code in NO_ROUTE
+    local = code in LOCAL_CONNECT_ERRORS or code in NO_LOCAL_ROUTE
     raise DialError.from_errno(DialFailure.LOCAL if local else DialFailure.UNREACHABLE, code)
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -1,4 +1,12 @@
-"""The clients' side: the listening socket, what their connections ask for, and the graceful shutdown."""
+"""The client side of the gateway: the listening socket, the client connections and the graceful shutdown.
+
+``Frontend`` accepts connections, up to a budget, and owns them: each ``ClientConnection`` reads and answers
+HTTP, and calls back here with its requests and its changes of state.  Requests are validated and passed to
+the runtime, which sends each final answer to the connection.  With the budget used up, or out of descriptors,
+it closes connections that matter least (``ClientTable.make_room``) and leaves new connections in the listen
+backlog meanwhile.  On SIGTERM it goes on accepting for a while, answers every request that arrives, and sets
+``finished`` once no connection is left or the time until SIGKILL has run out (see ``shutdown.py``).
+"""
 
 from __future__ import annotations
 
@@ -9,53 +17,54 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from gingerworks import interface as io
+from gingerworks import interface
 from gingerworks.gateway import clock
 from gingerworks.gateway.client import ClientConnection
 from gingerworks.gateway.client_table import ClientTable
 from gingerworks.gateway.config import Address
-from gingerworks.gateway.requests import Checks, Message, Refusal
+from gingerworks.gateway.requests import Message, RequestRejected, RequestValidator
 from gingerworks.gateway.runtime import Runtime
 from gingerworks.gateway.shutdown import GracefulShutdown, ShutdownPhase
-from gingerworks.gateway.system_errors import NOT_ACCEPTED, SHORTAGE, explain
+from gingerworks.gateway.system_errors import CONNECTION_NOT_ACCEPTED, RESOURCE_SHORTAGE, describe_error
 
-HEALTH = b"/_health"
+HEALTH_PATH = b"/_health"
 BACKLOG = 4096
-READ_BYTES = 16 * 1024  # at a time, from one client
-BODIES_BYTES = 8 << 20  # of all requests that are read or held
-ACCEPT_AT_ONCE = 64
-ACCEPT_PAUSE_S = 0.02
-CHECK_S = 0.2  # between looks for clients that have been silent for too long
-UNFINISHED_S = 0.5  # at shutdown: for clients to finish a request that they have begun to send
+READ_BUFFER_BYTES = 16 * 1024  # the most that one read takes from one client
+MAX_HELD_BODY_BYTES = 8 << 20  # of request bodies in memory, over all clients
+ACCEPTS_PER_TURN = 64  # of the event loop
+ACCEPT_PAUSE_S = 0.02  # before the next accept while there is no room, or after an error
+TIMEOUT_CHECK_INTERVAL_S = 0.2  # between checks of all clients' timeouts
+INCOMPLETE_REQUEST_WAIT_S = 0.5  # during shutdown: for clients to complete a request that they have begun
 
 log = logging.getLogger(__name__)
 
 
 class Frontend:
-    """The listening socket and the clients' connections."""
+    """The listening socket and the client connections; see the module's description."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, runtime: Runtime, settings: io.Settings, budget: int
+        self, loop: asyncio.AbstractEventLoop, runtime: Runtime, settings: interface.Settings, budget: int
     ) -> None:
-        """At most ``budget`` connections are open at once; further ones wait until one has ended."""
+        """At most ``budget`` client connections are open at once; further ones wait in the backlog."""
         self.loop = loop
         self.runtime = runtime
         self.finished = asyncio.Event()
-        self.buffer = memoryview(bytearray(READ_BYTES))  # shared: what is in it is parsed at once
-        self._checks = Checks(settings)
-        self._stored = 0
+        # Shared by all connections: each read is parsed before the next one.
+        self.read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
+        self._validator = RequestValidator(settings)
+        self._held_body_bytes = 0
         self.clients = ClientTable(budget)
-        self._check: asyncio.TimerHandle | None = None
-        self._accepting: set[asyncio.Task[Any]] = set()
+        self._timeout_check: asyncio.TimerHandle | None = None  # set while a connection is open
+        self._attaching: set[asyncio.Task[Any]] = set()  # kept from garbage collection
         self._listener: socket.socket | None = None
-        self._reading = False
-        self.backlog_empty_at = clock.now()
-        self._accept_fault = 0  # the errno that the operator was told of last; none since one was accepted
+        self._listener_watched = False
+        self.backlog_empty_at_ns = clock.now()  # data of a newly accepted connection came after this time
+        self._last_accept_errno = 0  # the one logged last; 0 again after a successful accept
         self._shutdown = GracefulShutdown(settings.classes)
-        self._refuse_unfinished: asyncio.TimerHandle | None = None
+        self._reject_incomplete_timer: asyncio.TimerHandle | None = None
 
     def listen(self, address: Address) -> None:
-        """Listen on this address only; who connects stays in the backlog until ``accept``."""
+        """Listen on this address; connections stay in the backlog until ``start_accepting``."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -63,41 +72,41 @@
         listener.listen(BACKLOG)
         self._listener = listener
 
-    def accept(self) -> None:
-        """Begin to take in who connects."""
-        self._resume()
+    def start_accepting(self) -> None:
+        """Begin to accept connections."""
+        self._watch_listener()
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address that it listens on, with the port that the kernel chose for port 0."""
         assert self._listener is not None
         host, port = self._listener.getsockname()[:2]
         return host, port
 
-    def _resume(self) -> None:
-        if self._listener is not None and not self._reading:
+    def _watch_listener(self) -> None:
+        if self._listener is not None and not self._listener_watched:
             try:
-                self.loop.add_reader(self._listener.fileno(), self._acceptable)
-            except OSError as fault:
-                # Guards against a loop that is short for a moment never hearing of newcomers again.
-                self._tell_accept_fault(fault.errno or 0)
-                self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
+                self.loop.add_reader(self._listener.fileno(), self._listener_readable)
+            except OSError as error:
+                # Most likely a passing shortage; without a retry nothing would ever be accepted again.
+                self._log_accept_error(error.errno or 0)
+                self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
                 return
-            self._reading = True
+            self._listener_watched = True
 
-    def _pause(self) -> None:
-        if self._listener is not None and self._reading:
-            self._reading = False
+    def _unwatch_listener(self) -> None:
+        if self._listener is not None and self._listener_watched:
+            self._listener_watched = False
             self.loop.remove_reader(self._listener.fileno())
 
-    def _acceptable(self) -> None:
-        began = clock.now()
-        if self._accept():
-            self.backlog_empty_at = began
+    def _listener_readable(self) -> None:
+        began_at = clock.now()
+        if self._accept_batch():
+            self.backlog_empty_at_ns = began_at
 
-    def _accept(self) -> bool:
-        """Take in who waits, so many at once; whether nobody waits any more."""
-        for _ in range(ACCEPT_AT_ONCE):
+    def _accept_batch(self) -> bool:
+        """Accept up to ``ACCEPTS_PER_TURN`` connections; returns whether the backlog is empty."""
+        for _ in range(ACCEPTS_PER_TURN):
             if self._listener is None:
                 return True
             if self.clients.full:
@@ -106,194 +115,202 @@
                 sock, _peer = self._listener.accept()
             except BlockingIOError:
                 return True
-            except OSError as fault:
-                if fault.errno in NOT_ACCEPTED:
-                    continue  # that connection is gone; others may wait behind it
-                return self._cannot_accept(fault.errno or 0)
-            self._accept_fault = 0
-            self._begin(sock)
+            except OSError as error:
+                if error.errno in CONNECTION_NOT_ACCEPTED:
+                    continue  # only that connection is gone; others may wait behind it
+                return self._accept_failed(error.errno or 0)
+            self._last_accept_errno = 0
+            self._add_client(sock)
         return False
 
-    def _cannot_accept(self, code: int) -> bool:
-        """Who waits stays in the backlog meanwhile; whether nobody does.
+    def _accept_failed(self, code: int) -> bool:
+        """Pause accepting after an error of the listener; returns whether the backlog is empty.
 
-        Only a shortage is met by making room: any other fault of the listener is no client's.
+        Clients are closed only for a shortage of descriptors or memory; it would help with no other error.
         """
-        self._tell_accept_fault(code)
-        if code in SHORTAGE:
+        self._log_accept_error(code)
+        if code in RESOURCE_SHORTAGE:
             self.clients.make_room()
         self._pause_accepting()
-        # accept(2) takes a descriptor before it looks whether anybody waits: the error does not tell.
-        return not self._somebody_waits()
+        # accept(2) allocates a descriptor before it looks at the backlog, so this error doesn't show whether
+        # a connection waits there.
+        return not self._backlog_has_connections()
 
-    def _tell_accept_fault(self, code: int) -> None:
-        """One line for each trouble, however many times it is met."""
-        if code != self._accept_fault:
-            self._accept_fault = code
-            log.warning("accept: %s", explain(code))
+    def _log_accept_error(self, code: int) -> None:
+        """Log an error once, not with each retry."""
+        if code != self._last_accept_errno:
+            self._last_accept_errno = code
+            log.warning("accept: %s", describe_error(code))
 
-    def _somebody_waits(self) -> bool:
+    def _backlog_has_connections(self) -> bool:
         assert self._listener is not None
-        backlog = select.poll()
-        backlog.register(self._listener, select.POLLIN)
+        poller = select.poll()
+        poller.register(self._listener, select.POLLIN)
         try:
-            return bool(backlog.poll(0))
+            return bool(poller.poll(0))
         except OSError:
-            return True  # not known
+            return True  # unknown for the moment: assume that one waits
 
-    def _begin(self, sock: socket.socket) -> None:
+    def _add_client(self, sock: socket.socket) -> None:
         _prepare(sock)
         client = ClientConnection(self, sock)
         self.clients.add(client)
-        self._shutdown.accepted(client.since)
-        if self._check is None:
-            self._check = self.loop.call_later(CHECK_S, self._check_times)
-        self._start(client, self.loop.connect_accepted_socket(lambda: client, sock))
+        self._shutdown.connection_accepted(client.state_since_ns)
+        if self._timeout_check is None:
+            self._timeout_check = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
+        self._attach(client, self.loop.connect_accepted_socket(lambda: client, sock))
 
-    def _start(self, client: ClientConnection, opening: Coroutine[Any, Any, Any]) -> None:
+    def _attach(self, client: ClientConnection, opening: Coroutine[Any, Any, Any]) -> None:
         task = self.loop.create_task(opening)
-        self._accepting.add(task)
+        self._attaching.add(task)
 
         def done(task: asyncio.Task[Any]) -> None:
-            self._accepting.discard(task)
+            self._attaching.discard(task)
             if not task.cancelled() and task.exception() is not None:
-                log.info("a connection ended at once: %s", task.exception())
+                log.info("could not attach an accepted connection to the event loop: %s", task.exception())
                 client.socket.close()
-                self.forget(client)
+                self.connection_closed(client)
 
         task.add_done_callback(done)
 
     def _wait_for_room(self) -> bool:
-        """Who waits stays in the backlog meanwhile; never nobody."""
+        """Make room and pause accepting; False, as the backlog may hold connections."""
         self.clients.make_room()
         self._pause_accepting()
         return False
 
     def _pause_accepting(self) -> None:
-        self._pause()  # until one has ended, or there may be one to close
-        self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
+        self._unwatch_listener()  # until a connection closes or the pause is over
+        self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
 
-    def _check_times(self) -> None:
-        self._check, now = None, clock.now()
+    def _check_timeouts(self) -> None:
+        self._timeout_check, now = None, clock.now()
         for client in list(self.clients.open):
-            client.check_time(now)
+            client.check_timeouts(now)
         if self.clients.open:
-            self._check = self.loop.call_later(CHECK_S, self._check_times)
+            self._timeout_check = self.loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
-    def busy(self, client: ClientConnection) -> None:
-        """A request is being handled there."""
-        self.clients.busy(client)
+    def request_started(self, client: ClientConnection) -> None:
+        """A request is being handled on this connection."""
+        self.clients.request_started(client)
 
-    def rest(self, client: ClientConnection) -> None:
-        """Nothing is held there."""
+    def connection_idle(self, client: ClientConnection) -> None:
+        """All requests on this connection are answered; it stays open for the next one."""
         self.clients.idle[client] = None
 
-    def leave(self, client: ClientConnection) -> None:
-        """It was told the last that it will be told."""
-        self.clients.leaving[client] = None
+    def connection_closing(self, client: ClientConnection) -> None:
+        """The last answer on this connection was written."""
+        self.clients.closing[client] = None
 
-    def forget(self, client: ClientConnection) -> None:
-        """The connection is no more."""
-        self.clients.forget(client)
-        if self.ending:
-            self._check_end()
+    def connection_closed(self, client: ClientConnection) -> None:
+        """This connection has ended."""
+        self.clients.remove(client)
+        if self.shutting_down:
+            self._check_drained()
         if not self.clients.full:
-            self._resume()
+            self._watch_listener()
 
-    def take(self, client: ClientConnection, message: Message) -> int | None:
-        """Check a request and hand it over; none: it asked for our health."""
-        if message.target == HEALTH:
+    def submit_request(self, client: ClientConnection, message: Message) -> int | None:
+        """Validate a request and pass it to the runtime; returns its id, or None for a health check."""
+        if message.target == HEALTH_PATH:
             if message.method != b"GET":
-                raise Refusal(405, "GET only")
+                raise RequestRejected(405, "GET only")
             return None
-        request = self._checks.request(message)
-        return self.runtime.taken(client, request, message.head(), message.body, message.arrived_at)
-
-    def cancelled(self, number: int) -> None:
-        """The client of a request that is not answered yet has gone."""
-        self.runtime.cancelled(number)
-
-    def store(self, size: int) -> bool:
-        """Count bytes of bodies that are held; false where that would be too many."""
-        if size > 0 and self._stored + size > BODIES_BYTES:
+        request = self._validator.validate(message)
+        return self.runtime.submit(
+            client, request, message.forwarded_head(), message.body, message.arrived_at_ns
+        )
+
+    def request_cancelled(self, request_id: int) -> None:
+        """The client of a request has disconnected before the answer."""
+        self.runtime.cancel_request(request_id)
+
+    def reserve_body_bytes(self, size: int) -> bool:
+        """Count body bytes in memory, or release them (``size`` below 0); False if that exceeds the limit."""
+        if size > 0 and self._held_body_bytes + size > MAX_HELD_BODY_BYTES:
             return False
-        self._stored += size
+        self._held_body_bytes += size
         return True
 
     @property
-    def ending(self) -> bool:
+    def shutting_down(self) -> bool:
         """Whether the graceful shutdown has begun."""
         return self._shutdown.started
 
-    def end(self) -> None:
-        """Begin the graceful shutdown: take what still comes, answer all in time, then set ``finished``."""
+    def begin_shutdown(self) -> None:
+        """Begin the graceful shutdown: accept and answer what still comes in time, then set ``finished``."""
         if self._shutdown.started:
             return
         now = clock.now()
         schedule = self._shutdown.start(now)
         self.runtime.begin_shutdown(schedule.answers_due_ns)
-        self._resume()  # whoever waits for a start that is not over has no later one to wait for
+        self._watch_listener()  # serves the backlog even if the start, which delays it, is not over
         self.clients.close_idle()
-        self._after(self._shutdown.accepts_for_ns(now), self._close_listener)
-        self._after(schedule.answers_due_ns - now, self._answers_due)
-        self._after(schedule.exit_due_ns - now, self._finish)
+        self._call_after_ns(self._shutdown.accept_remaining_ns(now), self._close_listener)
+        self._call_after_ns(schedule.answers_due_ns - now, self._answers_due)
+        self._call_after_ns(schedule.exit_due_ns - now, self._finish)
 
-    def _after(self, delay_ns: int, callback: Callable[[], None]) -> None:
+    def _call_after_ns(self, delay_ns: int, callback: Callable[[], None]) -> None:
         self.loop.call_later(delay_ns / clock.NS_PER_S, callback)
 
     def _close_listener(self) -> None:
-        """Close the listener once new connections have ceased and nobody waits in the backlog."""
+        """Close the listener once no new connections are expected and the backlog is empty."""
         if self._listener is None:
             return
-        wait_ns = self._shutdown.accepts_for_ns(clock.now())
+        wait_ns = self._shutdown.accept_remaining_ns(clock.now())
         if wait_ns:
-            self._after(wait_ns + clock.NS_PER_MS, self._close_listener)
+            self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
             return
-        if not self._accept():
-            # Guards against resetting those in the backlog that one turn, or a full table, does not take in.
+        if not self._accept_batch():
+            # Closing now would reset connections that are in the backlog because of a full table or turn.
             self.loop.call_later(ACCEPT_PAUSE_S, self._close_listener)
             return
         self._stop_listening()
-        self._check_end()
+        self._check_drained()
 
     def _stop_listening(self) -> None:
         if self._listener is not None:
-            self._pause()
+            self._unwatch_listener()
             self._listener.close()
             self._listener = None
             self._shutdown.listener_closed()
 
-    def attached(self) -> None:
-        """A connection that was accepted can be read now."""
-        if self.ending:
-            self._check_end()
+    def connection_attached(self) -> None:
+        """An accepted connection has its transport now, and could be closed if it is idle."""
+        if self.shutting_down:
+            self._check_drained()
 
-    def reads_on(self) -> bool:
-        """While ending: whether what a connection still holds is waited for."""
-        return self._shutdown.reads_on(clock.now())
+    def keeps_reading(self) -> bool:
+        """During shutdown: whether further requests on open connections are still read."""
+        return self._shutdown.keeps_reading(clock.now())
 
-    def _check_end(self) -> None:
-        """Once the listener is closed: end as soon as nobody is left, and wait for nobody in vain."""
+    def _check_drained(self) -> None:
+        """Once the listener is closed, finish as soon as no connection is left.
+
+        If only incomplete requests are left, they are rejected after a while.
+        """
         if self._listener is not None:
             return
         self.clients.close_idle()
         if not self.clients.open:
             self._finish()
-        elif self._refuse_unfinished is None and self.clients.serves_none():
-            self._refuse_unfinished = self.loop.call_later(UNFINISHED_S, self._refuse_half_read)
+        elif self._reject_incomplete_timer is None and self.clients.no_request_pending():
+            self._reject_incomplete_timer = self.loop.call_later(
+                INCOMPLETE_REQUEST_WAIT_S, self._reject_incomplete
+            )
 
-    def _refuse_half_read(self) -> None:
-        """Guards against a client that never ends its request; what it sends on meanwhile finds an answer."""
-        self._refuse_unfinished = None
-        self.clients.refuse_unfinished()
-        self._check_end()
+    def _reject_incomplete(self) -> None:
+        """Reject requests that are still incomplete: their clients may never complete them."""
+        self._reject_incomplete_timer = None
+        self.clients.reject_incomplete()
+        self._check_drained()
 
     def _answers_due(self) -> None:
-        """Every request has its answer by now; what comes until the exit is refused as it is read."""
+        """Every request has its answer by now; reject what still comes, again and again until the exit."""
         if self._shutdown.phase is ShutdownPhase.FINISHED:
             return
         self._shutdown.answers_due()
-        self.clients.refuse_unfinished()
+        self.clients.reject_incomplete()
         self.clients.close_idle()
         self.loop.call_later(ACCEPT_PAUSE_S, self._answers_due)
 
@@ -304,14 +321,14 @@
 
 
 def _prepare(sock: socket.socket) -> None:
-    """Set an accepted socket's options, where the system lets us.
+    """Set an accepted socket's options; go on without them if that fails.
 
-    Guards against losing a request that may lie in the socket already: its answer needs neither option.  The
-    loop sets the first one itself as it attaches the connection; without the second a small answer may wait
-    for the client's acknowledgement of the one before.
+    A request that is in the socket already can be answered without either.  The event loop makes the socket
+    non-blocking itself as it attaches the connection.  Without TCP_NODELAY a small answer may wait for the
+    client's acknowledgement of the one before.
     """
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as fault:
-        log.info("a client's socket: %s", explain(fault.errno or 0))
+    except OSError as error:
+        log.info("could not set the options of a client socket: %s", describe_error(error.errno or 0))
--- a/tests/test_clock_sync.py
+++ b/tests/test_clock_sync.py
@@ -10,17 +10,17 @@
 
 import pytest
 
-from gingerworks import interface as io
+from gingerworks import interface
 from gingerworks.policy.clock_sync import (
-    AGREED_NS_LEAST,
-    BEACON,
-    BEACON_LIFE_NS,
+    BEACON_AMOUNT,
+    BEACON_LIFETIME_NS,
     BEACON_NAME,
+    BEACON_SETTLE_NS,
     LAP_NS,
+    MIN_AGREEMENT_NS,
     PRESENCE_NAMES,
-    SETTLE_NS,
     ClockSync,
-    Step,
+    Purpose,
 )
 from tests.support import MS, SECOND
 
@@ -43,7 +43,7 @@
 
     def time(self, now: int) -> int:
         """The time by which it names counts, within a lap."""
-        return self.sync.time(now + self.ahead) % LAP_NS
+        return self.sync.agreed_time(now + self.ahead) % LAP_NS
 
 
 @dataclass
@@ -64,27 +64,29 @@
         node.sync.start(self.now + ahead)
         return node
 
-    def bump(self, call: io.Count) -> float:
-        total, ends = self.totals.get(call.count, (0.0, 0))
+    def bump(self, call: interface.Count) -> float:
+        total, ends = self.totals.get(call.name, (0.0, 0))
         if ends <= self.now:
-            total, ends = 0.0, self.now + call.keep_ns
-        self.totals[call.count] = total + call.amount, ends
+            total, ends = 0.0, self.now + call.ttl_ns
+        self.totals[call.name] = total + call.amount, ends
         return total + call.amount
 
     def due_at(self, node: Node) -> int:
-        assert node.sync.due_at is not None
-        return max(self.now, node.sync.due_at - node.ahead)
+        assert node.sync.due_at_ns is not None
+        return max(self.now, node.sync.due_at_ns - node.ahead)
 
-    def step(self, node: Node, status: io.Status = io.Status.DELIVERED) -> io.Count | None:
+    def step(
+        self, node: Node, status: interface.Status = interface.Status.DELIVERED
+    ) -> interface.Count | None:
         """Make a node's next call when it is due, with this outcome."""
         self.now = self.due_at(node)
-        call = node.sync.call(self.now + node.ahead)
+        call = node.sync.take_due_call(self.now + node.ahead)
         if call is None:
             return None
         self.calls += 1
         level = 0.0 if status.never_ran else self.bump(call)
         self.now += WAY
-        node.sync.answered(io.Counted(call.count, status, level, WAY), self.now + node.ahead)
+        node.sync.handle_answer(interface.Counted(call.name, status, level, WAY), self.now + node.ahead)
         return call
 
     def run(self, seconds: float) -> None:
@@ -95,11 +97,11 @@
             node = min(alive, key=self.due_at, default=None)
             if node is None or self.due_at(node) >= until:
                 break
-            status = io.Status.DELIVERED
+            status = interface.Status.DELIVERED
             if self.away:
-                status = io.Status.DIAL_FAILED
+                status = interface.Status.DIAL_FAILED
             elif self.rng.random() < self.lost:
-                status = io.Status.EXPIRED
+                status = interface.Status.EXPIRED
             self.step(node, status)
         self.now = until
 
@@ -136,8 +138,8 @@
     sync = ClockSync(1, random.Random(1))
     assert not sync.start(0)
     assert sync.agrees(0)
-    assert not sync.suspends_counts(0)
-    assert sync.call(SECOND) is None
+    assert not sync.suspends_customer_calls(0)
+    assert sync.take_due_call(SECOND) is None
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -145,7 +147,7 @@
     bench = Bench()
     first, stepped = bench.add(), bench.add(step)
     until_it_agrees(bench, first)
-    while first.sync.due_at is not None and not stepped.agrees(bench.now):
+    while first.sync.due_at_ns is not None and not stepped.agrees(bench.now):
         bench.run(0.1)
         bench.assert_nobody_agrees_on_another_time()
         assert bench.now < LAP_NS + 10 * SECOND
@@ -170,10 +172,10 @@
     for _ in range(4):  # both have read no beacon and no presence count before either goes on
         for node in nodes:
             bench.step(node)
-    assert {node.sync._next for node in nodes} == {Step.LOCK}
+    assert {node.sync._next_purpose for node in nodes} == {Purpose.LOCK}
     for node in nodes:
         bench.step(node)
-    assert [node.sync._next for node in nodes] == [Step.CLAIM, Step.READ]
+    assert [node.sync._next_purpose for node in nodes] == [Purpose.SET_TIME, Purpose.READ]
     bench.step(nodes[0])
     assert [node.agrees(bench.now) for node in nodes] == [True, False]
     bench.run(10)
@@ -187,14 +189,16 @@
     newcomer = bench.add()
     bench.now += SECOND
     bench.bump(
-        io.Count(BEACON_NAME, BEACON + (bench.now - 6 * SECOND) % LAP_NS // (100 * MS), BEACON_LIFE_NS)
+        interface.Count(
+            BEACON_NAME, BEACON_AMOUNT + (bench.now - 6 * SECOND) % LAP_NS // (100 * MS), BEACON_LIFETIME_NS
+        )
     )
     bench.step(newcomer)
     assert not newcomer.agrees(bench.now)
-    assert newcomer.sync.suspends_counts(bench.now)
+    assert newcomer.sync.suspends_customer_calls(bench.now)
     bench.run(5)
     bench.assert_agreement()
-    assert newcomer.sync.steps == 0
+    assert newcomer.sync.clock_steps == 0
 
 
 def test_a_restart_between_two_beacons_does_not_set_the_time_again() -> None:
@@ -263,7 +267,7 @@
     bench.run(seconds - 1)
     bench.add(3 * SECOND)  # restarted meanwhile, with another clock
     bench.run(1)
-    assert all(node.agrees(bench.now) == (seconds * SECOND < AGREED_NS_LEAST) for node in bench.nodes[:3])
+    assert all(node.agrees(bench.now) == (seconds * SECOND < MIN_AGREEMENT_NS) for node in bench.nodes[:3])
     bench.away = False
     if emptied:
         bench.totals.clear()
@@ -292,7 +296,7 @@
     for _ in range(100):
         bench.run(0.1)
         bench.assert_agreement()
-    assert all(node.sync.steps == 0 for node in bench.nodes)
+    assert all(node.sync.clock_steps == 0 for node in bench.nodes)
 
 
 @pytest.mark.parametrize("level", [1.0, -5.0, 1e9])
@@ -300,9 +304,11 @@
     bench = Bench()
     node = bench.add()
     bench.now = bench.due_at(node)
-    call = node.sync.call(bench.now)
+    call = node.sync.take_due_call(bench.now)
     assert call is not None
-    node.sync.answered(io.Counted(call.count, io.Status.DELIVERED, level, WAY), bench.now + WAY)
+    node.sync.handle_answer(
+        interface.Counted(call.name, interface.Status.DELIVERED, level, WAY), bench.now + WAY
+    )
     assert not node.agrees(bench.now)
     until_it_agrees(bench, node)
 
@@ -324,4 +330,4 @@
         bench.add(gateways=5)
     bench.run(1000)
     assert all(node.time(bench.now) == bench.now % LAP_NS for node in bench.nodes)
-    assert SETTLE_NS > BEACON_LIFE_NS
+    assert BEACON_SETTLE_NS > BEACON_LIFETIME_NS
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from gingerworks import interface as io
+from gingerworks import interface
 from gingerworks.gateway import discovery
 from gingerworks.gateway.__main__ import OWN_SOCKETS
 from gingerworks.gateway.backend import Answer, Attempt
@@ -172,8 +172,8 @@
         servers = entries(peers)
         agent = await telling(form(listing(*servers, index=2, snapshot=snapshot)), pieces)
         made = gateway(discovery=f"{agent.address[0]}:{agent.address[1]}")
-        await until(lambda: len(list(made.backends.listed())) == COUNT)
-        assert [one.name for one in made.backends.listed()] == [one["name"] for one in servers]
+        await until(lambda: len(list(made.backends.servers())) == COUNT)
+        assert [one.name for one in made.backends.servers()] == [one["name"] for one in servers]
         assert agent.requests == [b"/catalog/members?follow=1&since=1"]
         assert not any(peer.connections for peer in peers)
         assert (await (await Client.to(made)).send(ask()))[0] == 200
@@ -200,8 +200,8 @@
         assert peer.connections == 1
         made = gateway()
         for change in told:
-            made.runtime.listed(change)
-        assert {one.name for one in made.backends.listed()} == {one["name"] for one in new}
+            made.runtime.update_servers(change)
+        assert {one.name for one in made.backends.servers()} == {one["name"] for one in new}
         assert (await (await Client.to(made)).send(ask()))[0] == 200
 
     run(scenario())
@@ -333,11 +333,11 @@
         peers = [await answering(OK) for _ in range(LISTENERS)]
         servers = entries(peers)
         made = gateway(known=listing(*servers), limits={"sockets": sockets})
-        assert made.frontend.clients.budget + made.backends._budget + OWN_SOCKETS <= sockets
-        backends, budget = made.backends, made.backends._budget
-        ended: list[io.Status] = []
+        assert made.frontend.clients.budget + made.backends._max_connections + OWN_SOCKETS <= sockets
+        backends, budget = made.backends, made.backends._max_connections
+        ended: list[interface.Status] = []
 
-        def end(attempt: Attempt, status: io.Status, answer: Answer | None) -> None:
+        def end(attempt: Attempt, status: interface.Status, answer: Answer | None) -> None:
             ended.append(status)
 
         def attempt_at(server: dict[str, Any]) -> None:
@@ -346,14 +346,14 @@
         for server in servers:  # all at once: there is room for some
             attempt_at(server)
         await until(lambda: len(ended) == COUNT)
-        assert ended.count(io.Status.UNUSED) == COUNT - budget
-        assert ended.count(io.Status.DELIVERED) == budget
+        assert ended.count(interface.Status.UNUSED) == COUNT - budget
+        assert ended.count(interface.Status.DELIVERED) == budget
         ended.clear()
         for server in reversed(servers):  # in turn: what rests makes room
             attempt_at(server)
             assert len(backends._open) <= budget
             await until(lambda: len(ended) == 1)
-            assert ended.pop() is io.Status.DELIVERED
+            assert ended.pop() is interface.Status.DELIVERED
         assert sum(peer.connections for peer in peers) <= budget + COUNT
 
     with many_descriptors():
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from gingerworks import interface as io
+from gingerworks import interface
 from gingerworks.gateway import client as client_module
-from gingerworks.gateway import client_table, clock, dial, discovery, frontend, read_pause, shutdown
+from gingerworks.gateway import client_table, clock, dial, discovery, frontend, read_retry, shutdown
 from gingerworks.gateway import counter as counter_module
 from gingerworks.gateway.__main__ import Gateway
 from gingerworks.gateway.discovery import change_from
@@ -40,11 +40,11 @@
     run,
     until,
 )
-from tests.support import MS, SECOND, request, started
-from tests.test_gateway_attempts import Ended, attempt, backends, ending
+from tests.support import MS, SECOND, policy_with_servers, request
+from tests.test_full_client_table import HEALTH
+from tests.test_gateway_attempts import Results, make_attempt, make_backends, run_attempt
 from tests.test_gateway_counter import call as counted
 from tests.test_gateway_counter import counter, echoing, scripted
-from tests.test_gateway_crowd import HEALTH
 from tests.test_gateway_discovery import line, watching
 
 FOR_GOOD = 1 << 30
@@ -60,7 +60,7 @@
 def left_out(made: Gateway) -> list[str]:
     """The servers that are held to accept no connection, or to fail."""
     servers = made.runtime._policy.servers.backends.values()
-    return [server.entry.name for server in servers if server.unreachable_until or server.ejected_until]
+    return [server.entry.name for server in servers if server.unreachable_until_ns or server.ejected_until_ns]
 
 
 def failing(name: str) -> Callable[..., None]:
@@ -104,11 +104,11 @@
             status, head, _ = await client.send(ask("post"))  # may not run twice, so it must be known not to
             assert status == 503
             assert b"Retry-After" in head
-        assert faults.counts[call] <= 3 * made._config.settings.limits.attempts  # no spin
+        assert faults.counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         assert faults.all_closed()
         assert not one.requests + two.requests
-        said = [record for record in caplog.records if "no connection to servers" in record.message]
+        said = [record for record in caplog.records if "cannot connect to servers" in record.message]
         if call in (Call.SOCKET, Call.SETSOCKOPT, Call.CONNECT):
             assert len(said) == 1
         faults.failing([])
@@ -139,13 +139,13 @@
     # The error left the constructor with the socket open.
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = backends(server.address), injected(monkeypatch)
+        made, faults = make_backends(server.address), injected(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_writer", failing("add_writer"))
-            assert await ending(made) is io.Status.UNUSED
+            assert await run_attempt(made) is interface.Status.UNUSED
         assert faults.all_closed()
         assert not made._open
-        assert await ending(made) is io.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -156,13 +156,13 @@
     # The error escaped into the loop, and the attempt waited out its time on a connection nobody read.
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = backends(server.address), injected(monkeypatch)
+        made, faults = make_backends(server.address), injected(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
-            assert await ending(made) is io.Status.UNUSED
+            assert await run_attempt(made) is interface.Status.UNUSED
         assert faults.all_closed()
         assert not made._open
-        assert await ending(made) is io.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -180,10 +180,10 @@
 ) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = backends(server.address), injected(monkeypatch, Fault(call, code))
-        assert await ending(made) is io.Status.DIAL_FAILED
+        made, faults = make_backends(server.address), injected(monkeypatch, Fault(call, code))
+        assert await run_attempt(made) is interface.Status.DIAL_FAILED
         assert faults.all_closed()
-        assert await ending(made) is io.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -192,9 +192,9 @@
     # It was taken for a server that accepts no connection, and the connection that came up was closed.
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
+        made = make_backends(server.address)
         injected(monkeypatch, Fault(Call.CONNECT, errno.EINTR))
-        assert await ending(made) is io.Status.DELIVERED
+        assert await run_attempt(made) is interface.Status.DELIVERED
         assert server.connections == 1
 
     run(scenario())
@@ -218,14 +218,14 @@
     # It may be the only way left to its server; any failed dial, also a refused one, closed the oldest.
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
-        made = backends(one.address, two.address)
-        assert await ending(made) is io.Status.DELIVERED
+        made = make_backends(one.address, two.address)
+        assert await run_attempt(made) is interface.Status.DELIVERED
         injected(monkeypatch, Fault(call, code))
-        ended: Ended = []
-        made.start(attempt(ended, "s1"))
+        ended: Results = []
+        made.start(make_attempt(ended, "s1"))
         assert ended
         assert bool(made._idle.get("s0")) is kept
-        assert await ending(made, server="s1") is io.Status.DELIVERED
+        assert await run_attempt(made, server="s1") is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -234,9 +234,9 @@
     # As above, by the kernel's own refusal.
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address, ("127.0.0.1", closed_port()))
-        assert await ending(made) is io.Status.DELIVERED
-        assert await ending(made, server="s1") is io.Status.DIAL_FAILED
+        made = make_backends(server.address, ("127.0.0.1", closed_port()))
+        assert await run_attempt(made) is interface.Status.DELIVERED
+        assert await run_attempt(made, server="s1") is interface.Status.DIAL_FAILED
         assert made._idle["s0"]
 
     run(scenario())
@@ -247,13 +247,13 @@
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
         made = gateway(one.address, two.address)
-        budget, made.backends._budget = made.backends._budget, 0
+        budget, made.backends._max_connections = made.backends._max_connections, 0
         client = await Client.to(made)
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
         assert not left_out(made)
-        made.backends._budget = budget
+        made.backends._max_connections = budget
         assert (await client.send(ask("post")))[0] == 200
 
     run(scenario())
@@ -277,13 +277,13 @@
                 made.call(counted(number))
             await until(lambda: len(told) == before + 100)  # noqa: B023
             now[0] += 3 * counter_module.FIRST_PAUSE_NS // 2
-        assert {answer.status for answer in told} == {io.Status.UNUSED}
+        assert {answer.status for answer in told} == {interface.Status.UNUSED}
         assert faults.counts[call] == 8  # one dial for each pause, however many calls
         assert faults.all_closed()
         faults.failing([])
         made.call(counted(1000))
         await until(lambda: len(told) == 801)
-        assert told[-1].status is io.Status.DELIVERED
+        assert told[-1].status is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -302,12 +302,12 @@
             patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
             made.call(counted(1))
             await until(lambda: bool(told))
-        assert told[0].status is io.Status.UNUSED
+        assert told[0].status is interface.Status.UNUSED
         assert faults.all_closed()
         now[0] += 2 * counter_module.FIRST_PAUSE_NS
         made.call(counted(2))
         await until(lambda: len(told) == 2)
-        assert told[1].status is io.Status.DELIVERED
+        assert told[1].status is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -323,7 +323,7 @@
         made, told = counter(peer.address)
         made.call(counted(1))
         await until(lambda: len(told) == 1)
-        assert told[0].status is io.Status.DIAL_FAILED
+        assert told[0].status is interface.Status.DIAL_FAILED
         assert made._pause_ns == 2 * counter_module.FIRST_PAUSE_NS
 
     run(scenario())
@@ -331,45 +331,45 @@
 
 def test_calls_that_never_left_do_not_make_others_rarer() -> None:
     # The counter was asked less often for a shortage of this host, as if it had been late.
-    policy = started()
-    before = policy.quotas.asking
+    policy = policy_with_servers()
+    before = policy.quotas.read_fraction
     for number in range(8):
         event = request(number, plan="small", customer=f"c{number}", units=4.0, entries=200)
         for action in policy.handle(number * MS, [event]):
-            if isinstance(action, io.Count):
-                policy.handle(number * MS, [io.Counted(action.count, io.Status.UNUSED, 0.0, 0)])
-    assert policy.quotas.asking == before
+            if isinstance(action, interface.Count):
+                policy.handle(number * MS, [interface.Counted(action.name, interface.Status.UNUSED, 0.0, 0)])
+    assert policy.quotas.read_fraction == before
 
 
 @pytest.mark.parametrize("first", [1, 3])
 @pytest.mark.parametrize(
     ("code", "status"),
     [
-        (errno.EAGAIN, io.Status.DELIVERED),
-        (errno.EINTR, io.Status.DELIVERED),
-        (errno.ENOBUFS, io.Status.UNUSED),
-        (errno.ENOMEM, io.Status.UNUSED),
-        (errno.EPIPE, io.Status.DIAL_FAILED),
-        (errno.ECONNRESET, io.Status.DIAL_FAILED),
-        (errno.ETIMEDOUT, io.Status.DIAL_FAILED),
-        (errno.EHOSTUNREACH, io.Status.DIAL_FAILED),
-        (errno.ENETUNREACH, io.Status.DIAL_FAILED),
+        (errno.EAGAIN, interface.Status.DELIVERED),
+        (errno.EINTR, interface.Status.DELIVERED),
+        (errno.ENOBUFS, interface.Status.UNUSED),
+        (errno.ENOMEM, interface.Status.UNUSED),
+        (errno.EPIPE, interface.Status.DIAL_FAILED),
+        (errno.ECONNRESET, interface.Status.DIAL_FAILED),
+        (errno.ETIMEDOUT, interface.Status.DIAL_FAILED),
+        (errno.EHOSTUNREACH, interface.Status.DIAL_FAILED),
+        (errno.ENETUNREACH, interface.Status.DIAL_FAILED),
     ],
     ids=shown,
 )
 def test_a_request_that_cannot_be_written_whole_never_ran(
-    code: int, status: io.Status, first: int, monkeypatch: pytest.MonkeyPatch
+    code: int, status: interface.Status, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A signal, or a moment without buffers, was taken for a server that accepts no connection.
     async def scenario() -> None:
         server = await answering(OK)
-        made = backends(server.address)
+        made = make_backends(server.address)
         faults = injected(monkeypatch, Fault(Call.SEND, code, first=first), most_sent=16)
-        assert await ending(made) is status
-        if status is not io.Status.DELIVERED:
+        assert await run_attempt(made) is status
+        if status is not interface.Status.DELIVERED:
             assert faults.all_closed()
             assert not server.requests
-            assert await ending(made) is io.Status.DELIVERED
+            assert await run_attempt(made) is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -386,7 +386,7 @@
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
-        assert faults.counts[Call.SEND] <= made._config.settings.limits.attempts  # no spin
+        assert faults.counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         faults.failing([])
         assert (await client.send(ask("post")))[0] == 200
@@ -403,18 +403,18 @@
 @pytest.mark.parametrize(
     ("code", "status"),
     [
-        (errno.EAGAIN, io.Status.DELIVERED),
-        (errno.EINTR, io.Status.DELIVERED),
-        (errno.ENOBUFS, io.Status.DELIVERED),
-        (errno.ENOMEM, io.Status.DELIVERED),
-        (errno.ECONNRESET, io.Status.DROPPED),
-        (errno.ETIMEDOUT, io.Status.DROPPED),
-        (errno.EHOSTUNREACH, io.Status.DROPPED),
+        (errno.EAGAIN, interface.Status.DELIVERED),
+        (errno.EINTR, interface.Status.DELIVERED),
+        (errno.ENOBUFS, interface.Status.DELIVERED),
+        (errno.ENOMEM, interface.Status.DELIVERED),
+        (errno.ECONNRESET, interface.Status.DROPPED),
+        (errno.ETIMEDOUT, interface.Status.DROPPED),
+        (errno.EHOSTUNREACH, interface.Status.DROPPED),
     ],
     ids=shown,
 )
 def test_an_answer_is_read_past_what_lasts_for_a_moment_and_cut_by_what_breaks(
-    code: int, status: io.Status, first: int, answer: bytes, monkeypatch: pytest.MonkeyPatch
+    code: int, status: interface.Status, first: int, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A signal, or a moment without memory, was taken for a reset: an answer that was there was lost.
     async def scenario() -> None:
@@ -424,13 +424,13 @@
 
         server = await Peer(script).start()
         injected(monkeypatch, Fault(Call.RECV, code, first=first), most_received=16)
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
+        made, ended = make_backends(server.address), Results()
+        made.start(make_attempt(ended))
         await until(lambda: bool(ended))
         got = ended[0]
         assert got[0] is status
         assert len(server.requests) == 1
-        if status is io.Status.DELIVERED:
+        if status is interface.Status.DELIVERED:
             assert got[1] is not None
             assert got[1].body == BODY
 
@@ -442,22 +442,22 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Each turn of the loop tried anew, with all of a core, until the attempt's time was over.
-    monkeypatch.setattr(read_pause, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         server = await answering(OK)
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
-        made, ended = backends(server.address), Ended()
-        made.start(attempt(ended))
+        made, ended = make_backends(server.address), Results()
+        made.start(make_attempt(ended))
         await until(lambda: faults.raised[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.raised[Call.RECV] == 1
         faults.failing([])
         (connection,) = made._open
         assert connection.socket is not None
-        read_pause.read_again(made.loop, connection.socket, connection.readable, lambda: True)
+        read_retry.retry_read(made.loop, connection.socket, connection.on_readable, lambda: True)
         await until(lambda: bool(ended))
-        assert ended[0][0] is io.Status.DELIVERED
+        assert ended[0][0] is interface.Status.DELIVERED
 
     run(scenario())
 
@@ -466,7 +466,7 @@
 def test_a_lasting_want_of_buffers_for_the_counters_answers_is_met_by_pauses(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(read_pause, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
@@ -520,7 +520,7 @@
     """A client that rests after an answer, and others that have connected and are not accepted yet."""
     resting = await Client.to(made)
     assert (await resting.send(HEALTH))[0] == 200
-    made.frontend._pause()
+    made.frontend._unwatch_listener()
     return resting, [await Client.to(made) for _ in range(3)]
 
 
@@ -529,13 +529,13 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Clients between requests were closed, and nobody was accepted for 20 ms, though nothing was short.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
         resting, waiting = await resting_and_waiting(made)
         listening(monkeypatch, made, Fault(Call.ACCEPT, code, times=2))
-        assert made.frontend._accept()  # nobody waits any more
+        assert made.frontend._accept_batch()  # nobody waits any more
         assert len(made.frontend.clients.open) == 4
         for client in [resting, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
@@ -549,8 +549,8 @@
     async def scenario() -> None:
         made = gateway()
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ECONNABORTED, times=FOR_GOOD))
-        assert not made.frontend._accept()
-        assert faults.counts[Call.ACCEPT] == frontend.ACCEPT_AT_ONCE
+        assert not made.frontend._accept_batch()
+        assert faults.counts[Call.ACCEPT] == frontend.ACCEPTS_PER_TURN
 
     run(scenario())
 
@@ -560,14 +560,14 @@
     code: int, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     # One line came with each pause of 20 ms, and said nothing of what to do.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
         resting, waiting = await resting_and_waiting(made)
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, code, times=FOR_GOOD))
-        assert not made.frontend._accept()
-        assert not made.frontend._reading  # no spin
+        assert not made.frontend._accept_batch()
+        assert not made.frontend._listener_watched  # no spin
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await resting.send(HEALTH)
         await until(lambda: faults.counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
@@ -584,13 +584,13 @@
 def test_a_fault_of_the_listener_that_is_no_shortage_closes_no_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
         resting, waiting = await resting_and_waiting(made)
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.EINVAL))
-        assert not made.frontend._accept()
+        assert not made.frontend._accept_batch()
         assert faults.counts[Call.ACCEPT] == 1  # no spin
         for client in [resting, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
@@ -600,12 +600,12 @@
 
 def test_a_gateway_without_descriptors_ends_where_nobody_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     # accept fails for want of a descriptor before it looks whether anybody waits: the end never came.
-    monkeypatch.setattr(shutdown, "QUIET_NS", 10 * MS)
+    monkeypatch.setattr(shutdown, "QUIET_PERIOD_NS", 10 * MS)
 
     async def scenario() -> None:
         made = gateway()
         listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ENFILE, times=FOR_GOOD))
-        made.frontend.end()
+        made.frontend.begin_shutdown()
         await made.ended()
         assert clock.now() < made.frontend._shutdown.schedule.answers_due_ns
 
@@ -625,7 +625,7 @@
         faults = listening(monkeypatch, made, Fault(call, code, times=FOR_GOOD))
         for client in waiting:
             client.writer.write(ask("post"))
-        assert made.frontend._accept()
+        assert made.frontend._accept_batch()
         assert len(made.frontend.clients.open) == 4
         for client in waiting:
             assert (await client.answer())[0] == 200
@@ -650,7 +650,7 @@
 
         with monkeypatch.context() as patch:
             patch.setattr(made.frontend.loop, "connect_accepted_socket", attach)
-            assert made.frontend._accept()
+            assert made.frontend._accept_batch()
             await until(lambda: len(made.frontend.clients.open) == 1)
         assert faults.all_closed()
         for client in waiting:
@@ -668,7 +668,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(made.frontend.loop, "add_reader", failing("add_reader"))
             with contextlib.suppress(OSError):
-                made.frontend._resume()
+                made.frontend._watch_listener()
         assert (await (await Client.to(made)).send(HEALTH))[0] == 200
 
     run(scenario())
@@ -693,12 +693,12 @@
 
 
 def the_end_begins(made: Gateway) -> None:
-    made.frontend.end()
+    made.frontend.begin_shutdown()
 
 
 def it_has_rested_for_long(made: Gateway) -> None:
     (client,) = made.frontend.clients.open
-    client.check_time(client.since + 60 * SECOND)
+    client.check_timeouts(client.state_since_ns + 60 * SECOND)
 
 
 CLOSES = [room_is_made, the_end_begins, it_has_rested_for_long]
@@ -711,7 +711,7 @@
     code: int, closes: Callable[[Gateway], None], asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Any error of the look for unread bytes was taken for "nothing has come", and the connection was closed.
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
@@ -729,7 +729,7 @@
 def test_a_connection_that_has_broken_holds_nothing_unread(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_table, "GRACE_NS", 0)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         made = gateway()
@@ -788,8 +788,8 @@
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await until(lambda: len(told) == 20)
-        assert [(answer.status, answer.level) for answer in told] == [
-            (io.Status.DELIVERED, number + 0.5) for number in range(20)
+        assert [(answer.status, answer.total) for answer in told] == [
+            (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
         assert peer.connections == 1
         assert faults.raised[Call.SEND] == 2
@@ -799,7 +799,7 @@
 
 
 def test_a_lasting_want_of_buffers_at_the_counter_is_met_by_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter_module, "SHORTAGE_PAUSE_S", 3600.0)
+    monkeypatch.setattr(counter_module, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.SEND, errno.ENOBUFS, times=FOR_GOOD))
@@ -808,7 +808,9 @@
         for number in range(20):
             made.call(counted(number))
         await until(lambda: len(told) == 20)
-        assert {answer.status for answer in told} == {io.Status.DIAL_FAILED}  # not written: nothing added
+        assert {answer.status for answer in told} == {
+            interface.Status.DIAL_FAILED
+        }  # not written: nothing added
         assert faults.counts[Call.SEND] == 1
 
     run(scenario())
@@ -826,8 +828,8 @@
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await until(lambda: len(told) == 20)
-        assert [answer.level for answer in told] == [number + 0.5 for number in range(20)]
-        assert {answer.status for answer in told} == {io.Status.DELIVERED}
+        assert [answer.total for answer in told] == [number + 0.5 for number in range(20)]
+        assert {answer.status for answer in told} == {interface.Status.DELIVERED}
         assert peer.connections == 1
 
     run(scenario())
@@ -852,7 +854,7 @@
         made.call(counted(1))
         made.call(counted(2))
         await until(lambda: len(told) == 2)
-        assert [answer.status for answer in told] == [io.Status.EXPIRED, io.Status.DIAL_FAILED]
+        assert [answer.status for answer in told] == [interface.Status.EXPIRED, interface.Status.DIAL_FAILED]
 
     run(scenario())
 
@@ -871,7 +873,7 @@
         made, told = counter(peer.address)
         made.call(counted(1))
         await until(lambda: bool(told))
-        assert told[0].status is io.Status.EXPIRED
+        assert told[0].status is interface.Status.EXPIRED
         assert faults.all_closed()
 
     run(scenario())
@@ -887,12 +889,12 @@
         made.call(counted(1))
         made.call(counted(2))
         await until(lambda: len(told) == 2)
-        assert {answer.status for answer in told} == {io.Status.DIAL_FAILED}
+        assert {answer.status for answer in told} == {interface.Status.DIAL_FAILED}
         made._wait_s = 20.0
         faults.failing([])
         made.call(counted(3))
         await until(lambda: len(told) == 3)
-        assert told[2].status is io.Status.DELIVERED
+        assert told[2].status is interface.Status.DELIVERED
         assert [line.split()[1] for line in peer.requests] == [b"3"]
         assert peer.connections == 1
 
@@ -910,15 +912,15 @@
         for number in (1, 2):
             made.call(counted(number))
         await until(lambda: len(told) == 2)
-        assert {answer.count: answer.status for answer in told} == {
-            1: io.Status.EXPIRED,
-            2: io.Status.DIAL_FAILED,
+        assert {answer.name: answer.status for answer in told} == {
+            1: interface.Status.EXPIRED,
+            2: interface.Status.DIAL_FAILED,
         }
         made._wait_s = 20.0
         faults.failing([])
         made.call(counted(3))
         await until(lambda: len(told) == 3)
-        assert (told[2].count, told[2].status) == (3, io.Status.DELIVERED)
+        assert (told[2].name, told[2].status) == (3, interface.Status.DELIVERED)
         assert [line.split()[1] for line in peer.requests] == [b"1", b"3"]
 
     run(scenario())
@@ -1056,7 +1058,7 @@
 ) -> None:
     # The same fault at each of the first calls of its kind, in turn, over all of a gateway's own sockets.
     # A newcomer may be closed for room after its grace, which a busy machine may use up; here nobody is.
-    monkeypatch.setattr(client_table, "GRACE_NS", 1 << 62)
+    monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 1 << 62)
 
     async def scenario() -> None:
         one, two, told = await answering(OK), await answering(OK), await scripted(echoing)
@@ -1091,7 +1093,7 @@
         faults.failing([])
         assert faults.raised[call]
         made.runtime._policy.servers.backends.clear()  # what was learned of the servers, rightly or not
-        made.runtime.listed(change_from(listing(entry("s9", one.address))))
+        made.runtime.update_servers(change_from(listing(entry("s9", one.address))))
         assert (await (await Client.to(made)).send(ask("post")))[0] == 200
 
     run(scenario())
