--- a/tests/test_stepped_clocks.py
+++ b/tests/test_stepped_clocks.py
@@ -1,7 +1,8 @@
-"""Ceilings and quotas of fleets with stepped wall clocks, beside the steps of the known failure.
+"""Ceilings and quotas of simulated fleets in which wall clocks were stepped (set to another time).
 
-The model is that of ``test_wall_clock_counts``: steps between and beyond those, several clocks at once, other
-sizes, a crowded counter, and gateways that restart with a stepped clock while the others go on.
+``test_wall_clock_counts`` guards against a failure that occurred with steps of 3 s and an hour.  These tests
+use the same model with other steps, several stepped clocks, fleets of other sizes, an overloaded counter, and
+gateways that restart with a stepped clock while the others keep running.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from tests.support import SECOND
 from tests.test_wall_clock_counts import GATEWAYS, HOUR, PRESSED
 
-STEPS_S = [
+CLOCK_STEPS_S = [
     -900.0,
     -60.0,
     -8.0,
@@ -35,24 +36,24 @@
     17.0,
     100.5,
 ]
-RESTARTS_S = [4.0, 7.5, 11.0]
+RESTART_TIMES_S = [4.0, 7.5, 11.0]
 
 
-def play(day: Deployment, seed: int, *steps_s: float) -> Result:
+def play(deployment: Deployment, seed: int, *steps_s: float) -> Result:
     steps_ns = tuple(int(step * SECOND) for step in steps_s)
-    return Fleet(replace(day, clock_steps_ns=steps_ns), seed).run()
+    return Fleet(replace(deployment, clock_steps_ns=steps_ns), seed).run()
 
 
-def assert_kept(result: Result, beyond: float = 0.12) -> None:
-    """Ceilings hold, and no more is beyond quotas than where a gateway calls no counter at all."""
+def assert_limits_kept(result: Result, max_beyond: float = 0.12) -> None:
+    """Ceilings hold, and no more is beyond quotas than where one gateway never calls the counter."""
     assert result.beyond_ceiling == 0.0
-    assert result.units_beyond / result.units_sent <= beyond
+    assert result.units_beyond / result.units_sent <= max_beyond
 
 
-@pytest.mark.parametrize("step_s", STEPS_S)
-def test_one_clock_stepped_by_any_span_costs_neither_ceilings_nor_service(step_s: float) -> None:
+@pytest.mark.parametrize("step_s", CLOCK_STEPS_S)
+def test_one_stepped_clock_affects_neither_ceilings_nor_service(step_s: float) -> None:
     result = play(PRESSED, 3, step_s)
-    assert_kept(result, beyond=0.05)  # as with equal clocks
+    assert_limits_kept(result, max_beyond=0.05)  # as with equal clocks
     assert result.service >= 0.9
 
 
@@ -60,29 +61,29 @@
 @pytest.mark.parametrize("step_s", [3.0, -HOUR / SECOND])
 def test_half_of_the_clocks_stepped_alike_agree_with_the_other_half(seed: int, step_s: float) -> None:
     result = play(PRESSED, seed, *[step_s] * (GATEWAYS // 2))
-    assert_kept(result)
+    assert_limits_kept(result)
     assert result.service >= 0.9
 
 
 @pytest.mark.parametrize("gateways", [2, 3, 5, 13, 24, 40])
 @pytest.mark.parametrize("seed", [2, 3])
 def test_every_clock_may_differ_from_every_other_one(gateways: int, seed: int) -> None:
-    draw = random.Random(seed * 100 + gateways)
-    spans = (lambda: draw.uniform(-8, 8), lambda: draw.uniform(-900, 900), lambda: draw.uniform(-0.7, 0.7))
-    steps_s = [draw.choice(spans)() for _ in range(gateways)]
+    rng = random.Random(seed * 100 + gateways)
+    draws_s = (lambda: rng.uniform(-8, 8), lambda: rng.uniform(-900, 900), lambda: rng.uniform(-0.7, 0.7))
+    steps_s = [rng.choice(draws_s)() for _ in range(gateways)]
     result = play(replace(PRESSED, gateways=gateways), seed, *steps_s)
-    assert_kept(result)
+    assert_limits_kept(result)
     assert result.service >= 0.85
 
 
 @pytest.mark.parametrize("gateways", [5, 13])
-def test_a_counter_that_cannot_take_all_calls_keeps_stepped_clocks_within_ceilings(gateways: int) -> None:
-    crowded = replace(PRESSED, gateways=gateways, calls_per_s=40.0 * gateways)
-    assert play(crowded, 2, -3.0, 3.0).beyond_ceiling == 0.0
+def test_ceilings_hold_with_stepped_clocks_and_an_overloaded_counter(gateways: int) -> None:
+    overloaded = replace(PRESSED, gateways=gateways, calls_per_s=40.0 * gateways)
+    assert play(overloaded, 2, -3.0, 3.0).beyond_ceiling == 0.0
 
 
 def restart(fleet: Fleet, number: int, step_ns: int, now: int) -> None:
-    """A gateway dies and is back at once, with nothing but a wall clock that was stepped meanwhile."""
+    """Replace a gateway by a new one without its state, whose wall clock was stepped by ``step_ns``."""
     fleet.gateways[number].handle = lambda now, *events: None  # type: ignore[method-assign]
     fleet.gateways[number] = Gateway(number, fleet, now, step_ns)
 
@@ -91,6 +92,6 @@
 @pytest.mark.parametrize("step_s", [-3.0, 3.0, 100.5])
 def test_gateways_that_restart_with_a_stepped_clock_follow_the_others(seed: int, step_s: float) -> None:
     fleet = Fleet(replace(PRESSED, clock_steps_ns=(HOUR,) * GATEWAYS), seed)
-    for number, at_s in enumerate(RESTARTS_S):
+    for number, at_s in enumerate(RESTART_TIMES_S):
         fleet.at(int(at_s * SECOND), partial(restart, fleet, number, int(step_s * SECOND)))
-    assert_kept(fleet.run())
+    assert_limits_kept(fleet.run())
