--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,8 +1,8 @@
-"""The adapter on made-up batches: the round trip, and each kind of bad input."""
+"""The simulator's adapter, given batches of lines: its replies, and what it does on each kind of bad input."""
 
 from __future__ import annotations
 
-import io as text
+import io
 import subprocess
 import sys
 from pathlib import Path
@@ -25,7 +25,7 @@
     "ROW phase=1 block=0 zone=a hw=k server=10.0.0.1:80 size=1"
 )
 START = f"SELECT i=3\nCREATE entropy=5 {SETTINGS}\n{ROWS}"
-ASK = "REQUEST op-id=9 qos=look terms=p n-entries=2 from-no=0 ttl-ns=3000000000 caller=x quota-units=2"
+REQUEST = "REQUEST op-id=9 qos=look terms=p n-entries=2 from-no=0 ttl-ns=3000000000 caller=x quota-units=2"
 
 
 def batch(body: str, frame: int = 1, now: int = 1000) -> str:
@@ -33,14 +33,14 @@
 
 
 def run(source: str) -> tuple[int, list[str]]:
-    sink = text.StringIO()
-    code = serve(text.StringIO(source), sink)
+    sink = io.StringIO()
+    code = serve(io.StringIO(source), sink)
     return code, sink.getvalue().splitlines()
 
 
-def test_a_request_makes_the_round_trip() -> None:
+def test_a_request_is_assigned_and_its_reply_is_accepted() -> None:
     reply = "SELECT i=3\nREPLY op-id=9 go=0 server=10.0.0.1:80 status=delivered terminal=1 feedback=qps:4,odd"
-    code, lines = run(batch(f"{START}\n{ASK}") + batch(reply, 2, 2000))
+    code, lines = run(batch(f"{START}\n{REQUEST}") + batch(reply, 2, 2000))
     assert code == 0
     assert lines[0] == "SPEAKING i=3"
     assert "ASSIGN op-id=9 server=10.0.0.1:80 try-for-ns=3000000000" in lines
@@ -54,19 +54,19 @@
     assert run(source)[0] == 0
 
 
-def test_a_stopped_instance_forgets_everything() -> None:
-    code, lines = run(batch(f"{START}\n{ASK}\nTEARDOWN\nCREATE entropy=5 {SETTINGS}\n{ROWS}\n{ASK}"))
+def test_a_restarted_instance_has_no_state_of_the_earlier_one() -> None:
+    code, lines = run(batch(f"{START}\n{REQUEST}\nTEARDOWN\nCREATE entropy=5 {SETTINGS}\n{ROWS}\n{REQUEST}"))
     assert code == 0
     assert sum(line.startswith("ASSIGN") for line in lines) == 1
 
 
 @pytest.mark.parametrize(
-    ("body", "word"),
+    ("body", "expected"),
     [
-        (ASK, "before any SELECT"),
-        (f"{START}\n{ASK.replace('op-id=9 ', '')}", "op-id is missing"),
-        (f"{START}\n{ASK.replace('ttl-ns=3', 'ttl-ns=x3')}", "ttl-ns"),
-        (f"{START}\n{ASK.replace('quota-units=2', 'quota-units=nan')}", "quota-units"),
+        (REQUEST, "before any SELECT"),
+        (f"{START}\n{REQUEST.replace('op-id=9 ', '')}", "op-id is missing"),
+        (f"{START}\n{REQUEST.replace('ttl-ns=3', 'ttl-ns=x3')}", "ttl-ns"),
+        (f"{START}\n{REQUEST.replace('quota-units=2', 'quota-units=nan')}", "quota-units"),
         (f"{START}\nREPLY op-id=9 status=odd", "status"),
         (f"{START}\nREQUEST garbage", "not name=value"),
         ("SELECT i=3\nBACKENDS_CHANGED index=1 mode=4 records=2\nROW phase=1 server=a:1", "ROW"),
@@ -74,14 +74,14 @@
         ("SELECT i=3\nBATCH frame=3", "out of place"),
     ],
 )
-def test_a_malformed_line_stops_the_adapter_plainly(
-    body: str, word: str, capsys: pytest.CaptureFixture[str]
+def test_a_malformed_line_stops_the_adapter_with_a_clear_message(
+    body: str, expected: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, _ = run(batch(body))
     message = capsys.readouterr().err
     assert code != 0
     assert message.startswith("line ")
-    assert word in message
+    assert expected in message
     assert message.count("\n") == 1
 
 
@@ -92,12 +92,12 @@
     assert "BATCH expected" in capsys.readouterr().err
 
 
-@pytest.mark.parametrize("gone", ["tick-ns=2000000 ", "tariffs.0.most-at-once=8 ", "peers-total=1 "])
-def test_missing_settings_are_named(gone: str) -> None:
-    code, lines = run(batch(START.replace(gone, "")) + batch("SELECT i=3", 2))
-    fault = next(line for line in lines if line.startswith("GIVE_IN"))
+@pytest.mark.parametrize("missing", ["tick-ns=2000000 ", "tariffs.0.most-at-once=8 ", "peers-total=1 "])
+def test_missing_settings_are_named(missing: str) -> None:
+    code, lines = run(batch(START.replace(missing, "")) + batch("SELECT i=3", 2))
+    message = next(line for line in lines if line.startswith("GIVE_IN"))
     assert code == 0
-    assert gone.split("=")[0] in fault
+    assert missing.split("=")[0] in message
     assert lines[-1] == "OK frame=2"
 
 
@@ -106,8 +106,8 @@
     assert any(line.startswith("GIVE_IN") and "setting me" in line for line in lines)
 
 
-def test_a_fault_in_a_decision_is_told_and_the_batch_is_answered() -> None:
-    code, lines = run(batch(f"{START}\n{ASK}\n{ASK}") + "BATCH sim-time-ns=2000 frame=2\nEOF_BATCH\n")
+def test_an_exception_in_a_decision_is_reported_and_the_batch_is_answered() -> None:
+    code, lines = run(batch(f"{START}\n{REQUEST}\n{REQUEST}") + "BATCH sim-time-ns=2000 frame=2\nEOF_BATCH\n")
     assert code == 0
     assert any(line.startswith("GIVE_IN what=ValueError: request 9 was already given") for line in lines)
     assert lines[-1] == "OK frame=2"
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the modules run one way, also those for type checks alone."""
+"""No import cycles between the modules, not even by imports for type checks only."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def imported(source: Path) -> Iterator[str]:
-    """Whatever a module imports, wherever the statement stands; names of modules and of what is in them."""
+    """All that a module imports, at any place in it: names of modules, and of names in modules."""
     for node in ast.walk(ast.parse(source.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -26,10 +26,10 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def test_no_module_imports_one_that_imports_it() -> None:
+def test_no_modules_import_each_other() -> None:
     sources = {module_name(source): source for source in (ROOT / PACKAGE).rglob("*.py")}
     packages = {name for name, source in sources.items() if source.name == "__init__.py"}
-    modules = sources.keys() - packages  # a package's own names are gathered from its modules
+    modules = sources.keys() - packages  # a package only re-exports names of its modules
     graph = {name: set(imported(sources[name])) & modules for name in modules}
     assert f"{PACKAGE}.gateway.client" in graph[f"{PACKAGE}.gateway.frontend"]
-    TopologicalSorter(graph).prepare()  # raises CycleError
+    TopologicalSorter(graph).prepare()  # raises CycleError on a cycle
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -39,7 +39,7 @@
     run,
     until,
 )
-from tests.test_adapter import ASK, ROWS, START, batch
+from tests.test_adapter import REQUEST, ROWS, START, batch
 from tests.test_adapter import run as play
 from tests.test_gateway_discovery import HEAD, watching
 
@@ -102,7 +102,7 @@
     whole = "\n".join([f"BACKENDS_CHANGED index=1 mode=4 records={COUNT} extra=1", *rows])
     start = START.replace(ROWS, whole).replace("me=0 peers-total=2", f"me={COUNT - 1} peers-total={COUNT}")
     start = start.replace("has-counter=true", "has-counter=false")
-    code, lines = play(batch(f"{start}\n{ASK.replace('n-entries=2', f'n-entries={COUNT}')}"))
+    code, lines = play(batch(f"{start}\n{REQUEST.replace('n-entries=2', f'n-entries={COUNT}')}"))
     assert code == 0
     assert any(re.match(r"ASSIGN op-id=9 server=s\d+ ", line) for line in lines)
 
