--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -31,8 +31,8 @@
 # dip by chance, and a dip would set the unloaded answer time too low.
 MIN_MEAN_GAIN = 0.005
 MIN_ANSWERS = 20  # means and rates of fewer answers are not relied on: they may be far off by chance
-# Time over which the answers per warm server are remembered: their rate hardly changes, and some gateways see
-# few.
+# Time over which the answer rate per warm server is remembered: it hardly changes, and some gateways see few
+# answers.
 CAPACITY_MEMORY_NS = 60 * SECOND
 # Time over which a request is counted into the allowances of cold servers, so that bursts are spread evenly.
 ALLOTMENT_NS = 2 * SECOND
@@ -50,7 +50,8 @@
     """What this gateway knows of one server.
 
     ``relative_answer_time`` is its answer time as a multiple of the mean, ``capacity_share`` the part of its
-    full capacity that it had when a server was last chosen.
+    full capacity that it had when a server was last chosen.  ``waiting_since_ns`` is the time of its last
+    answer, or of the first attempt sent after it had none in flight if that is later.
     """
 
     def __init__(self, entry: interface.Server, now: int, level: float) -> None:
@@ -141,7 +142,7 @@
         """
         # Each request is counted once.  Were the current request rate multiplied by the time since the last
         # request, a gateway with few requests would combine the rate just after a request, when it is
-        # highest, with the long gap before it: all gateways together sent several times the share.
+        # highest, with the long gap before it: all gateways together then sent several times the share.
         requests = self.unallotted_requests * -math.expm1(-elapsed / ALLOTMENT_NS)
         # When the whole fleet is cold, the servers must not get all requests and further attempts.  The bound
         # is set by the rate of answers seen: summed over the gateways, it is no more than warm servers can
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -11,7 +11,7 @@
 from gingerworks.policy import Policy
 from tests.loopback import OK, Client, answering, ask, entry, gateway, listing, raw_config, run, until
 from tests.support import MS, outcome, policy_with_servers, request, server
-from tests.support import listing as listed
+from tests.support import listing as servers_changed
 
 HOUR_S = 3600
 PERIOD_MS = 250  # between requests: four a second, as at one gateway of a large fleet
@@ -61,7 +61,7 @@
         if n % 40 == 0:  # one server is replaced every ten seconds
             gone = server(f"s{n // 40}", phase=interface.Phase.GONE)
             come = server(f"s{n // 40 + 2}", started_ns=now)
-            events.insert(0, listed(gone, come, mode=interface.ListMode.DELTA))
+            events.insert(0, servers_changed(gone, come, mode=interface.ListMode.DELTA))
         replies = answers(policy.handle(now, events), statuses)
         while replies:
             replies = answers(policy.handle(now + 80 * MS, replies), statuses)
--- a/tests/test_load_shedding.py
+++ b/tests/test_load_shedding.py
@@ -85,9 +85,9 @@
         policy.shedder.pass_probability(look, plan, 1.0, 1.0, 0)
         policy.shedder.pass_probability(post, plan, 1.0, 1.0, 0)
     policy.shedder.time_in_flight_ns = policy.shedder.prior_ns  # a load ratio of 2
-    cheap = policy.shedder.pass_probability(look, plan, 1.0, 1.0, 0)
-    dear = policy.shedder.pass_probability(post, plan, 1.0, 1.0, 0)
-    assert cheap < 0.01 < dear < 1.0
+    low_worth = policy.shedder.pass_probability(look, plan, 1.0, 1.0, 0)
+    high_worth = policy.shedder.pass_probability(post, plan, 1.0, 1.0, 0)
+    assert low_worth < 0.01 < high_worth < 1.0
 
 
 def test_a_few_short_answers_do_not_lower_the_target_for_long() -> None:
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -111,8 +111,8 @@
         policy = cold_gateway(me, *(server(f"cold{n}", started_ns=1) for n in range(12)))
         for number in range(requests):
             total += sent(policy, (number + 1) * SECOND, number)
-    warmth = RULES.start_capacity + (1 - RULES.start_capacity) * requests * SECOND / RULES.cold_ns
-    assert 0 < total <= gateways * requests * warmth
+    capacity_share = RULES.start_capacity + (1 - RULES.start_capacity) * requests * SECOND / RULES.cold_ns
+    assert 0 < total <= gateways * requests * capacity_share
 
 
 @pytest.mark.parametrize("status", [interface.Status.DIAL_FAILED, interface.Status.UNUSED])
@@ -133,5 +133,5 @@
         assert tried > 1
         policy.handle(now, [listing(*(replace(entry, started_ns=now) for entry in down))])
         total += sent(policy, now + age, 1)
-    warmth = RULES.start_capacity + (1 - RULES.start_capacity) * age / RULES.cold_ns
-    assert 0 < total <= gateways * warmth
+    capacity_share = RULES.start_capacity + (1 - RULES.start_capacity) * age / RULES.cold_ns
+    assert 0 < total <= gateways * capacity_share
