--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter, given batches of lines: its replies, and what it does on each kind of bad input."""
+"""The simulator's adapter, given batches of lines: its replies, and its reaction to each kind of bad line."""
 
 from __future__ import annotations
 
