--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -565,7 +565,7 @@
 
 
 def test_requests_beyond_the_quota_cost_one_call_each_and_book_nothing() -> None:
-    # Once refusals are likely, a call books nothing before the request has passed: nothing has to be taken back.
+    # Once refusals are likely, a call books nothing before the request has passed, so nothing is taken back.
     call_count, added = calls_beyond_the_quota(30)
     assert 35 <= call_count <= 115
     assert added == pytest.approx(0.0)
@@ -591,8 +591,8 @@
 
 
 def test_what_an_unanswered_call_booked_for_a_refused_request_is_taken_back() -> None:
-    # Nine units that nobody used stayed in a customer's count for a day: it was refused although its store was
-    # full.
+    # Nine units that nobody used stayed in a customer's count for a day: it was refused although its store
+    # was full.
     policy = policy_with_servers(server("s1"))
     incoming = request(1, plan="capped", customer="c", entries=15, units=1.0)
     (call,) = calls(policy.handle(MS, [incoming]))
@@ -631,8 +631,8 @@
 
 
 def test_calls_report_what_was_admitted_and_nothing_else() -> None:
-    # After a few late answers one request was reported as ten, for nine that had been refused, and the store
-    # looked exhausted to all gateways.
+    # After a few late answers one request was reported in place of ten that had been refused, which emptied the
+    # store for all gateways.
     for plan in ("small", "capped"):
         policy, totals, reported, sent = policy_with_servers(server("s1")), SharedCounter(), 0.0, 0
         for number in range(400):
