--- a/tests/test_gap_counter.py
+++ b/tests/test_gap_counter.py
@@ -1,4 +1,4 @@
-"""The gap counter against the figures that the paper publishes."""
+"""The gap counter, compared with the carried rates in Table 1 of Turner and Key's paper."""
 
 import math
 
@@ -17,7 +17,7 @@
 
 
 def step(size: int, level: int, arrivals: int) -> tuple[int, int]:
-    """One interval of the real counter with the paper's m = 1: the next level and the calls accepted."""
+    """One interval of the counter, with the paper's m = 1; returns the next level and the calls accepted."""
     counter = GapCounter(size, level, 0.0)
     counter.m = 1.0
     accepted = 0
@@ -30,7 +30,7 @@
 
 
 def carried(size: int, rate: float) -> float:
-    """The steady carried rate, from the Markov chain over the levels of the counter."""
+    """The carried rate in the steady state of the Markov chain over the counter's levels."""
     chance = [math.exp(-rate) * rate**n / math.factorial(n) for n in range(25)]
     moves = {level: [step(size, level, n) for n in range(25)] for level in range(1, size + 1)}
     state = {level: 1.0 / size for level in moves}
@@ -52,12 +52,12 @@
 
 
 @pytest.mark.parametrize(("size", "rate", "published"), [c for c in CASES if c[0] in (10, 20)])
-def test_carried_rate_is_the_papers(size: int, rate: float, published: float) -> None:
-    # The table gives three digits; a few of its entries are off by one in the last.
+def test_the_carried_rate_is_that_of_the_paper(size: int, rate: float, published: float) -> None:
+    # The table gives three digits, and in a few of its entries the last one is off by one.
     assert carried(size, rate) == pytest.approx(published, abs=0.0025)
 
 
-def test_a_long_gap_refills_as_many_short_ones() -> None:
+def test_one_long_refill_adds_as_much_as_many_short_ones() -> None:
     once, often = GapCounter(10, 0, 0.3), GapCounter(10, 0, 0.3)
     once.refill(7.0)
     for _ in range(700):
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -631,7 +631,7 @@
 
 
 def test_calls_report_what_was_admitted_and_nothing_else() -> None:
-    # After a few late answers one request was reported in place of ten that had been refused: that emptied the
+    # After a few late answers one request was reported in place of ten that had been refused: it emptied the
     # store for all gateways.
     for plan in ("small", "capped"):
         policy, totals, reported, sent = policy_with_servers(server("s1")), SharedCounter(), 0.0, 0
--- a/tests/test_stepped_clocks.py
+++ b/tests/test_stepped_clocks.py
@@ -14,7 +14,7 @@
 
 from tests.quota_fleet import Deployment, Fleet, Gateway, Result
 from tests.support import SECOND
-from tests.test_wall_clock_counts import GATEWAYS, HOUR, PRESSED
+from tests.test_wall_clock_counts import GATEWAYS, HOUR, OVERUSED_QUOTAS
 
 STEPS_S = [
     -900.0,
@@ -51,17 +51,17 @@
 
 @pytest.mark.parametrize("step_s", STEPS_S)
 def test_one_clock_stepped_by_any_span_costs_neither_ceilings_nor_service(step_s: float) -> None:
-    result = play(PRESSED, 3, step_s)
+    result = play(OVERUSED_QUOTAS, 3, step_s)
     assert_kept(result, beyond=0.05)  # as with equal clocks
-    assert result.service >= 0.9
+    assert result.served_ratio >= 0.9
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 @pytest.mark.parametrize("step_s", [3.0, -HOUR / SECOND])
 def test_half_of_the_clocks_stepped_alike_agree_with_the_other_half(seed: int, step_s: float) -> None:
-    result = play(PRESSED, seed, *[step_s] * (GATEWAYS // 2))
+    result = play(OVERUSED_QUOTAS, seed, *[step_s] * (GATEWAYS // 2))
     assert_kept(result)
-    assert result.service >= 0.9
+    assert result.served_ratio >= 0.9
 
 
 @pytest.mark.parametrize("gateways", [2, 3, 5, 13, 24, 40])
@@ -70,14 +70,14 @@
     draw = random.Random(seed * 100 + gateways)
     spans = (lambda: draw.uniform(-8, 8), lambda: draw.uniform(-900, 900), lambda: draw.uniform(-0.7, 0.7))
     steps_s = [draw.choice(spans)() for _ in range(gateways)]
-    result = play(replace(PRESSED, gateways=gateways), seed, *steps_s)
+    result = play(replace(OVERUSED_QUOTAS, gateways=gateways), seed, *steps_s)
     assert_kept(result)
-    assert result.service >= 0.85
+    assert result.served_ratio >= 0.85
 
 
 @pytest.mark.parametrize("gateways", [5, 13])
 def test_a_counter_that_cannot_take_all_calls_keeps_stepped_clocks_within_ceilings(gateways: int) -> None:
-    crowded = replace(PRESSED, gateways=gateways, calls_per_s=40.0 * gateways)
+    crowded = replace(OVERUSED_QUOTAS, gateways=gateways, calls_per_s=40.0 * gateways)
     assert play(crowded, 2, -3.0, 3.0).beyond_ceiling == 0.0
 
 
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("seed", [2, 3])
 @pytest.mark.parametrize("step_s", [-3.0, 3.0, 100.5])
 def test_gateways_that_restart_with_a_stepped_clock_follow_the_others(seed: int, step_s: float) -> None:
-    fleet = Fleet(replace(PRESSED, clock_steps_ns=(HOUR,) * GATEWAYS), seed)
+    fleet = Fleet(replace(OVERUSED_QUOTAS, clock_steps_ns=(HOUR,) * GATEWAYS), seed)
     for number, at_s in enumerate(RESTARTS_S):
-        fleet.at(int(at_s * SECOND), partial(restart, fleet, number, int(step_s * SECOND)))
+        fleet.schedule(int(at_s * SECOND), partial(restart, fleet, number, int(step_s * SECOND)))
     assert_kept(fleet.run())
