--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -17,6 +17,7 @@
 
 A gateway has one such call to the counter out at a time; ``ClockSync.handle_answer`` schedules the next one.
 Times are nanoseconds of the gateway's own clock, which only advances, unless they are said to be agreed ones.
+``docs/design.md`` describes the protocol.
 """
 
 from __future__ import annotations
@@ -315,10 +316,10 @@
             spread = min(self._gateways * SECOND_READ_SPREAD_PER_GATEWAY_NS, MAX_SECOND_READ_SPREAD_NS)
             self._schedule(Purpose.READ, now + int(self._rng.random() * spread))
             return
-        found_lately = (
+        found_recently = (
             self._presence_found_ns is not None and now - self._presence_found_ns < PRESENCE_RECHECK_NS
         )
-        if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_lately:
+        if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_recently:
             self._schedule(Purpose.CHECK_FIRST, now)
         else:
             self._schedule_reread(now)
