--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -199,15 +199,15 @@
     def covers_without_reading(self, units: float) -> bool:
         """Whether to admit a request after a call without an answer.
 
-        A request larger than the even share needs only that share, unless the last reading found that the
-        store was exhausted.
+        For a request larger than the even share the allowance has to hold no more than that share, unless the
+        last reading found the store exhausted.
         """
         return self.allowance.covers(min(units, self.even_burst)) and not (
             self.exhausted and units > self.even_burst
         )
 
     def share_covers(self, units: float) -> bool:
-        """Whether the share covers a request, of which half or the even share may still be missing."""
+        """Whether the share covers a request; half of it, or the even share if less, may still be missing."""
         return self.share_allowance.covers(units - min(self.even_burst, units * SHARE_ADVANCE))
 
     def count_name(self, now: int) -> tuple[int, int]:
@@ -318,7 +318,7 @@
         """``agreed``: this gateway has evidence that the others name the count by the same time."""
         self.customer = customer
         self.clock_agreed = agreed
-        self.clock_steps = customer.clock.clock_steps
+        self.clock_steps_at_start = customer.clock.clock_steps
         self.count_began_ns = count_began_ns
         self.reported = customer.unreported
         self.repair, self.deficit_before_repair = repair, customer.deficit_before_repair
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -183,7 +183,7 @@
         if call is None:
             return None
         customer = call.customer
-        if call.clock_steps != self.clock.clock_steps:
+        if call.clock_steps_at_start != self.clock.clock_steps:
             # The call was added to a count that the others do not read, so it is still to be added to theirs.
             answer = replace(answer, status=interface.Status.UNUSED)
         call.clock_agreed = call.clock_agreed and self.clock.agrees(now)
--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -1,6 +1,6 @@
 """Requests that a gateway's own share of a quota does not cover: which to read for, which to admit at once.
 
-A reading is a call to the shared counter that tells whether the quota still covers a request.  While the
+A reading is a call to the shared counter that shows whether the quota still covers a request.  While the
 counter cannot take a call for each uncertain request, calls are spent where a wrong decision is expected to
 cost the most.  A request without a reading is admitted speculatively only if its expected gain exceeds the
 expected cost of an overrun, which is use beyond the quota.  The expected costs of such overruns are held to a
--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -24,13 +24,12 @@
 UNITS = (1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
 UNIT_WEIGHTS = (0.5, 0.22, 0.12, 0.08, 0.05, 0.03)
 HOT_CUSTOMERS = 2
-CEILING_ALLOWANCE_S = (
-    0.15  # of the ceiling's rate: what the protocol allows beyond the slack where sockets are used
-)
+# Of the ceiling's rate: what the protocol allows in addition to the slack where sockets are used.
+CEILING_ALLOWANCE_S = 0.15
 CLASSES = (
     replace(SAFE, name="cheap", aim_ns=2500 * MS, deadline_ns=DEADLINE_NS, worth=1.0),
     replace(SAFE, name="quick", aim_ns=600 * MS, deadline_ns=1500 * MS, worth=3.0),
-    replace(SAFE, name="dear", aim_ns=2000 * MS, deadline_ns=DEADLINE_NS, worth=3.0),
+    replace(SAFE, name="expensive", aim_ns=2000 * MS, deadline_ns=DEADLINE_NS, worth=3.0),
 )
 CLASS_SHARES = (0.42, 0.36, 0.14)
 
@@ -55,10 +54,7 @@
         (plan("middle", 4.6, 24.0, 1.1, 2.0, 1.75), 237),
         (plan("high", 20.0, 47.0, 1.6, 3.0), 26),
     )
-    gateway_fraction: tuple[float, float] = (
-        0.5,
-        1.0,
-    )  # of all gateways: the range of how many a customer uses
+    gateway_fraction: tuple[float, float] = (0.5, 1.0)  # of all gateways, used by a customer
     gateway_skew: float = 1.3  # sigma of the log-normal weights of a customer's gateways
     reshuffle_s: float = 20.0  # mean time until a customer's gateways get new weights
     calm_load: float = 0.35  # of the quota: what customers without another pattern request
@@ -81,7 +77,7 @@
     hot_period_s: tuple[float, float] = (7.0, 14.0)  # start and end of these requests
     seconds: int = 23
     class_worths: tuple[float, ...] = (1.0, 3.0, 3.0)
-    marks_retry: bool = True  # gateways are told which tries are retries
+    marks_retry: bool = True  # requests say whether they are retries
     clock_steps_ns: tuple[int, ...] = ()  # steps of the first gateways' wall clocks before the start
     gateways_without_counter: int = 0  # how many of the first gateways cannot reach the counter
 
@@ -148,7 +144,7 @@
 
     name: str
     plan: interface.Plan
-    first: int
+    first_gateway: int
     gateway_count: int
     traffic: TrafficPattern
     store: Store
@@ -177,7 +173,7 @@
 
     offered: float = 0.0
     served: float = 0.0
-    overrun_cost: float = 0.0  # of the units beyond quotas
+    total_overrun_cost: float = 0.0  # of the units beyond quotas
     units_sent: float = 0.0
     units_beyond: float = 0.0
     tries: int = 0
@@ -193,7 +189,7 @@
     @property
     def overrun_cost_ratio(self) -> float:
         """Cost of the use beyond quotas, as a fraction of the worth offered."""
-        return self.overrun_cost / self.offered
+        return self.total_overrun_cost / self.offered
 
     @property
     def served_ratio(self) -> float:
@@ -342,11 +338,11 @@
         quota = plan.rate / mean_units
         traffic = self.draw_traffic(quota)
         self.usual_rate += traffic.usual_rate
-        first = rng.randrange(deployment.gateways)
+        first_gateway = rng.randrange(deployment.gateways)
         new = SimulatedCustomer(
             f"{plan.name}-{number}",
             plan,
-            first,
+            first_gateway,
             gateway_count,
             traffic,
             Store(plan),
@@ -380,8 +376,10 @@
         return TrafficPattern(calm)
 
     def redistribute(self, now: int, customer: SimulatedCustomer) -> None:
-        """Draw new weights for the gateways of a customer, now and then again."""
-        members = [(customer.first + n) % self.deployment.gateways for n in range(customer.gateway_count)]
+        """Draw new weights for the gateways of a customer, now and again later."""
+        members = [
+            (customer.first_gateway + n) % self.deployment.gateways for n in range(customer.gateway_count)
+        ]
         self.rng.shuffle(members)
         customer.gateways = members
         weights = (
@@ -454,7 +452,7 @@
             result.served_by[customer.plan.name] += client_request.worth
         else:
             result.units_beyond += client_request.units
-            result.overrun_cost += client_request.worth * customer.plan.overrun_cost
+            result.total_overrun_cost += client_request.worth * customer.plan.overrun_cost
 
     def record_refused(self, now: int, client_request: ClientRequest, retry_after_ns: int) -> None:
         result, deployment = self.result, self.deployment
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -106,13 +106,13 @@
 
 def test_with_a_silent_counter_the_even_share_is_admitted() -> None:
     # The even share of 2 units a second among three gateways, and no more than the burst in addition.
-    used = admitted_units(policy_with_servers(), 30)
-    assert 30 * 2 / 3 <= used <= 30 * 2 / 3 + 8
+    admitted = admitted_units(policy_with_servers(), 30)
+    assert 30 * 2 / 3 <= admitted <= 30 * 2 / 3 + 8
 
 
 def test_without_a_counter_the_even_share_is_admitted() -> None:
-    used = admitted_units(policy_with_servers(has_counter=False), 30)
-    assert 30 * 2 / 3 <= used <= 30 * 2 / 3 + 8
+    admitted = admitted_units(policy_with_servers(has_counter=False), 30)
+    assert 30 * 2 / 3 <= admitted <= 30 * 2 / 3 + 8
 
 
 def units_admitted_by_fleet(gateways: int, seconds: int, lost_at: int = -1) -> float:
