--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -1,10 +1,10 @@
 """All customers of one gateway, and its calls to the counter that the gateways share.
 
 Decides whether a customer's quota covers a request, when its use is reported to the shared count, and which
-requests are held for a reading of it.  A request is uncertain if the gateway's share of the quota does not
-cover it, although it may still be within the quota.  While the counter answers in time, a reading is taken
-for each uncertain request.  While it is late, readings are taken for a fraction of them, and the others are
-admitted or refused by estimates, see ``speculative_admission``.
+requests are held for a reading of it.  A request is uncertain if it may be within the quota, but is not
+covered by the gateway's allowance or exceeds the even share of the burst.  While the counter answers in time,
+a reading is taken for each uncertain request.  While it is late, readings are taken for a fraction of them,
+and the others are admitted or refused by estimates, see ``speculative_admission``.
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
         )
 
     def assess(self, inflight: InFlightRequest[Customer], headroom: Headroom) -> UncertainRequest:
-        """What is known of a request that the share, or this part of the ceiling, does not cover."""
+        """What is known of a request that the allowance, or this part of the ceiling, does not cover."""
         customer, is_retry = inflight.customer, inflight.request.is_retry
         plan = customer.plan
         chance = self.speculation.chance(plan.name, is_retry, headroom, customer.pass_rate)
@@ -131,9 +131,10 @@
         return units <= customer.even_burst or customer.unreported > MAX_UNREPORTED * customer.allowance.cap
 
     def schedule_report(self, customer: Customer, now: int) -> int | None:
-        """When to report this customer's use, or ``None`` if that is planned already.
+        """When to report this customer's use; ``None`` if no report is needed, or one is planned already.
 
-        The period is longer while the counter is late, and has a random part.
+        Use that is not urgent waits for a report period, which is longer while the counter is late and varies
+        at random.
         """
         if not self.settings.has_counter or customer.plan.rate <= 0:
             return None
