--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -62,7 +62,7 @@
         told from the start on, and a start on a small part of a core lasts longer than a drain's grace.
         """
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(watch.settled.wait(), FIRST_LIST_S)
+            await asyncio.wait_for(watch.first_attempt_done.wait(), FIRST_LIST_S)
         self.frontend.start_accepting()
 
     def _follow(self, discovery: Address, index: int) -> Watch:
--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -1,4 +1,12 @@
-"""The pipelined client of the shared counter: one connection, answers in the order of the calls."""
+"""The client of the shared counter: pipelines calls on one connection.
+
+Each call is one line, ``bump NAME AMOUNT LIFETIME_MS``.  The counter answers in the order of the calls, by
+``ok TOTAL``, ``busy`` or ``error``, so an answer belongs to the oldest call without one.  A call that has
+timed out keeps its place in that order until its answer has come.
+
+The connection is opened when a call needs it, and again, after a growing delay, if it is lost or cannot be
+opened.  The result of each call says whether its amount was added, was not added, or may have been added.
+"""
 
 from __future__ import annotations
 
@@ -21,42 +29,45 @@
     describe_error,
 )
 
-REST_NS = (
-    3 * clock.NS_PER_S
-)  # unused for so long, a connection may be closing at the other end: take a new one
-SILENCE_WAITS = 2.0  # waits for a call with calls out and no answer at all: nobody is there any more
-CONNECT_S = 0.25
-FIRST_PAUSE_NS = 50 * clock.NS_PER_MS
-LONGEST_PAUSE_NS = clock.NS_PER_S
-MOST_CALLS = 4096  # waiting on one connection; more are turned away here
-LINE_BYTES = 256
-LONGEST_LIFE_MS = 60_000
+# A connection that was idle for longer is replaced before a call: the counter may just be closing it.
+MAX_IDLE_NS = 3 * clock.NS_PER_S
+# With calls in flight and no answer at all for this many times the wait for a call, the counter is taken for
+# unreachable, and the connection is closed.
+SILENT_AFTER_WAITS = 2.0
+CONNECT_TIMEOUT_S = 0.25
+# Mean delays before connecting again after a failure, each with a random part; they double from the one to
+# the other.
+MIN_RECONNECT_DELAY_NS = 50 * clock.NS_PER_MS
+MAX_RECONNECT_DELAY_NS = clock.NS_PER_S
+MAX_CALLS_IN_FLIGHT = 4096  # on the connection; further calls are rejected without being sent
+MAX_LINE_BYTES = 256  # of an answer
+MAX_LIFETIME_MS = 60_000  # that a call may ask for the count which it creates
 
 log = logging.getLogger(__name__)
 
 
 class Call:
-    """One call; it keeps its place in the order of the answers after it was given up."""
+    """One call; it keeps its place in the order of the answers after it has timed out."""
 
-    __slots__ = ("action", "begun", "line", "open", "sent", "timer")
+    __slots__ = ("action", "awaits_result", "line", "sent_bytes", "started_ns", "timer")
 
-    def __init__(self, action: interface.Count, begun: int) -> None:
+    def __init__(self, action: interface.Count, started_ns: int) -> None:
         self.action = action
-        self.begun = begun
-        self.open = True
-        life = min(LONGEST_LIFE_MS, max(1, action.ttl_ns // clock.NS_PER_MS))
-        self.line = f"bump {action.name} {action.amount:.7f} {life}\r\n".encode()
-        self.sent = 0  # bytes of the line that the kernel has taken
+        self.started_ns = started_ns
+        self.awaits_result = True  # its ``Counted`` has not been reported yet
+        lifetime_ms = min(MAX_LIFETIME_MS, max(1, action.ttl_ns // clock.NS_PER_MS))
+        self.line = f"bump {action.name} {action.amount:.7f} {lifetime_ms}\r\n".encode()
+        self.sent_bytes = 0  # bytes of the line that the kernel has accepted
         self.timer: asyncio.TimerHandle | None = None
 
     @property
-    def written(self) -> bool:
-        """Whether it may have been added."""
-        return self.sent == len(self.line)
+    def is_fully_sent(self) -> bool:
+        """Whether the counter may have received the whole line, and so may have added the amount."""
+        return self.sent_bytes == len(self.line)
 
 
-class Counter:
-    """Carries out ``Count`` actions; every call gets exactly one ``Counted``."""
+class CounterClient:
+    """Carries out ``Count`` actions; every call gets exactly one ``Counted``, by ``on_result``."""
 
     def __init__(
         self,
@@ -64,240 +75,247 @@
         address: Address,
         wait_ns: int,
         seed: int,
-        told: Callable[[interface.Counted], None],
+        on_result: Callable[[interface.Counted], None],
     ) -> None:
-        """Nothing is opened before the first call or ``connect``."""
+        """A call waits ``wait_ns`` for its answer; the first call or ``connect`` opens the connection."""
         self._loop = loop
         self._address = address
         self._wait_s = wait_ns / clock.NS_PER_S
-        self._told = told
+        self._on_result = on_result
         self._rng = random.Random(seed)
         self._socket: socket.socket | None = None
         self._dial: Dial | None = None
-        self._calls: deque[Call] = deque()  # in the order of their answers
-        self._unsent: deque[Call] = deque()  # those of them that are not written whole
-        self._in = b""
-        self._used_at = self._heard_at = 0
-        self._pause_ns = FIRST_PAUSE_NS
-        self._not_before = 0
-        self._away = interface.Status.DIAL_FAILED  # what calls come to until then
-        self._why = ""  # there was no connection, as the operator was told last
-        self._flushing = self._watching = self._retired = self._heard = False
+        self._calls: deque[Call] = deque()  # without an answer, in the order of the answers
+        self._unsent: deque[Call] = deque()  # those of them that are not fully sent
+        self._input = b""
+        self._last_used_ns = self._last_received_ns = 0
+        self._reconnect_delay_ns = MIN_RECONNECT_DELAY_NS
+        self._reconnect_at_ns = 0
+        self._status_until_reconnect = interface.Status.DIAL_FAILED  # of calls until then
+        self._logged_reason = ""  # the last logged reason why there is no connection
+        self._flush_scheduled = self._awaits_writable = self._retired = self._has_received = False
 
     def connect(self) -> None:
-        """Open the connection, unless it is up or on its way."""
+        """Open the connection, unless it is open or being opened."""
         if self._socket is not None or self._dial is not None:
             return
         try:
-            self._dial = Dial(self._loop, self._address, CONNECT_S, self._connected, self._not_connected)
+            self._dial = Dial(
+                self._loop, self._address, CONNECT_TIMEOUT_S, self._on_connected, self._on_connect_failed
+            )
         except DialError as error:
-            self._not_connected(error)
+            self._on_connect_failed(error)
 
     def call(self, action: interface.Count) -> None:
-        """Make a call; calls of one turn of the loop are written together."""
+        """Make a call; the calls of one turn of the event loop are written together."""
         now = clock.now()
         call = Call(action, now)
-        if self._socket is not None and not self._calls and now - self._used_at > REST_NS:
-            self._close()  # guards against writing into the counter's idle close
+        if self._socket is not None and not self._calls and now - self._last_used_ns > MAX_IDLE_NS:
+            self._close()  # the counter may be closing the idle connection: the call would be lost in it
         if self._socket is None and self._dial is None:
-            if now >= self._not_before:
+            if now >= self._reconnect_at_ns:
                 self.connect()
             if self._dial is None:
-                return self._end(call, self._away)
-        if len(self._calls) >= MOST_CALLS:
-            return self._end(call, interface.Status.SHED)
-        call.timer = self._loop.call_later(self._wait_s, self._expired, call)
+                return self._finish_call(call, self._status_until_reconnect)
+        if len(self._calls) >= MAX_CALLS_IN_FLIGHT:
+            return self._finish_call(call, interface.Status.SHED)
+        call.timer = self._loop.call_later(self._wait_s, self._on_call_timeout, call)
         self._calls.append(call)
         self._unsent.append(call)
-        if self._socket is not None and not self._flushing:
-            self._flushing = True
+        if self._socket is not None and not self._flush_scheduled:
+            self._flush_scheduled = True
             self._loop.call_soon(self._flush)
         return None
 
     def retire(self) -> None:
-        """Let the calls that are out have their answers, or their time, and then close."""
+        """Close once all calls in flight have been answered or have timed out; no further calls are made."""
         self._retired = True
-        self._maybe_close()
+        self._close_if_retired_and_idle()
 
     def close(self) -> None:
-        """End all."""
+        """Close the connection at once; calls in flight end when they time out."""
         self._close()
 
-    def _maybe_close(self) -> None:
-        # Each call has its time-out, so this comes within the wait for a call.
-        if self._retired and not any(call.open for call in self._calls):
+    def _close_if_retired_and_idle(self) -> None:
+        # Each call is answered or times out, so the connection closes within the wait for a call.
+        if self._retired and not any(call.awaits_result for call in self._calls):
             self._close()
 
-    def _connected(self, sock: socket.socket) -> None:
+    def _on_connected(self, sock: socket.socket) -> None:
         self._dial = None
         try:
-            self._loop.add_reader(sock.fileno(), self._readable)
+            self._loop.add_reader(sock.fileno(), self._on_readable)
         except OSError as fault:
             sock.close()
-            return self._not_connected(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
+            return self._on_connect_failed(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
         self._socket = sock
-        self._pause_ns, self._why = FIRST_PAUSE_NS, ""
-        self._used_at = clock.now()
+        self._reconnect_delay_ns, self._logged_reason = MIN_RECONNECT_DELAY_NS, ""
+        self._last_used_ns = clock.now()
         return self._flush()
 
-    def _not_connected(self, error: DialError) -> None:
-        """Guards against a shortage of this host being taken for the counter's silence.
+    def _on_connect_failed(self, error: DialError) -> None:
+        """Fail the waiting calls and delay the next attempt to connect.
 
-        The pause does not grow with it then, and the calls tell nothing of how much the counter can take.
+        A failure of this host, such as a shortage of sockets, says nothing about the counter.  The delay does
+        not grow with it then, and the calls end as never sent instead of as failed connections.
         """
         self._dial = None
-        if str(error) != self._why:  # one line for each trouble, however long it lasts
-            self._why = str(error)
-            log.info("counter: no connection: %s", error)
+        if str(error) != self._logged_reason:  # log each failure once, however often it repeats
+            self._logged_reason = str(error)
+            log.info("counter: cannot connect: %s", error)
         if error.failure is DialFailure.UNREACHABLE:
-            return self._lost()
-        self._pause(FIRST_PAUSE_NS, interface.Status.UNUSED)
-        return self._drop(interface.Status.UNUSED)
+            return self._handle_connection_loss()
+        self._delay_reconnect(MIN_RECONNECT_DELAY_NS, interface.Status.UNUSED)
+        return self._close_and_finish_calls(interface.Status.UNUSED)
 
     def _flush(self) -> None:
-        self._flushing = False
+        self._flush_scheduled = False
         if self._socket is None:
             return
         if not self._unsent:
-            return self._watch_writable(False)
+            return self._set_awaits_writable(False)
         try:
-            sent = self._socket.send(b"".join(call.line[call.sent :] for call in self._unsent))
+            sent_bytes = self._socket.send(b"".join(call.line[call.sent_bytes :] for call in self._unsent))
         except (BlockingIOError, InterruptedError):
-            sent = 0
+            sent_bytes = 0
         except OSError as fault:
             if fault.errno in RESOURCE_SHORTAGE:
-                return self._flush_later()
-            log.info("counter: connection broke: %s", describe_error(fault.errno or 0))
-            return self._lost()
-        self._used_at = clock.now()
-        self._taken(sent)
-        return self._watch_writable(bool(self._unsent))
-
-    def _taken(self, size: int) -> None:
-        """The kernel has taken so many bytes of what is unsent."""
+                return self._retry_flush_later()
+            log.info("counter: connection lost: %s", describe_error(fault.errno or 0))
+            return self._handle_connection_loss()
+        self._last_used_ns = clock.now()
+        self._count_sent_bytes(sent_bytes)
+        return self._set_awaits_writable(bool(self._unsent))
+
+    def _count_sent_bytes(self, size: int) -> None:
+        """Note that the kernel has accepted this many of the unsent bytes."""
         while size:
             call = self._unsent[0]
-            part = min(size, len(call.line) - call.sent)
-            call.sent += part
+            part = min(size, len(call.line) - call.sent_bytes)
+            call.sent_bytes += part
             size -= part
-            if call.written:
+            if call.is_fully_sent:
                 self._unsent.popleft()
 
-    def _flush_later(self) -> None:
-        """Guards against a spin: a socket counts as writable while this host has no buffers for it.
+    def _retry_flush_later(self) -> None:
+        """Write again after a pause, as this host has no buffers for it.
 
-        The connection is kept: with its end each call that is out would count as one that may have been
-        added.
+        The socket counts as writable all the time, so waiting for that would call the writer again and again.
+        The connection is kept: if it were closed, each call in flight might have been added or not.
         """
-        self._watch_writable(False)
-        self._flushing = True
+        self._set_awaits_writable(False)
+        self._flush_scheduled = True
         self._loop.call_later(SHORTAGE_RETRY_DELAY_S, self._flush)
 
-    def _watch_writable(self, wanted: bool) -> None:
-        if wanted == self._watching:
+    def _set_awaits_writable(self, wanted: bool) -> None:
+        if wanted == self._awaits_writable:
             return
         assert self._socket is not None
-        self._watching = wanted
+        self._awaits_writable = wanted
         if wanted:
             self._loop.add_writer(self._socket.fileno(), self._flush)
         else:
             self._loop.remove_writer(self._socket.fileno())
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         assert self._socket is not None
         try:
             data = self._socket.recv(65536)
         except OSError as fault:
             if fault.errno in RESOURCE_SHORTAGE:
-                return self._read_later()
+                return self._retry_read_later()
             if fault.errno in RETRYABLE:
-                return None  # the connection lives, and what has come stays in the kernel
+                return None  # the connection is intact, and the data stays in the kernel
             data = b""
         if not data:
-            return self._lost()
-        self._used_at = self._heard_at = clock.now()
-        self._heard = True
-        *lines, self._in = (self._in + data).split(b"\n")
+            return self._handle_connection_loss()
+        self._last_used_ns = self._last_received_ns = clock.now()
+        self._has_received = True
+        *lines, self._input = (self._input + data).split(b"\n")
         for line in lines:
-            if not self._answer(line.strip()):
-                log.warning("counter: not an answer: %r", line[:80])
-                return self._spoilt()
-        if len(self._in) > LINE_BYTES:
-            log.warning("counter: a line is too long")
-            return self._spoilt()
-        return self._maybe_close()
-
-    def _read_later(self) -> None:
+            if not self._handle_answer(line.strip()):
+                log.warning("counter: invalid answer: %r", line[:80])
+                return self._restart_after_bad_answer()
+        if len(self._input) > MAX_LINE_BYTES:
+            log.warning("counter: the answer line is too long")
+            return self._restart_after_bad_answer()
+        return self._close_if_retired_and_idle()
+
+    def _retry_read_later(self) -> None:
         sock = self._socket
         assert sock is not None
-        retry_read_later(self._loop, sock, self._readable, lambda: self._socket is sock)
+        retry_read_later(self._loop, sock, self._on_readable, lambda: self._socket is sock)
 
-    def _spoilt(self) -> None:
-        """What belongs to which call is not known any more; the counter is there, so no pause is due."""
-        self._lost()
+    def _restart_after_bad_answer(self) -> None:
+        """Replace the connection: which answer belongs to which call is unknown from here on.
+
+        The counter has answered, so there is no delay.
+        """
+        self._handle_connection_loss()
         if not self._retired:
             self.connect()
 
-    def _answer(self, line: bytes) -> bool:
-        """Take one line as the answer to the oldest call; false where it cannot be one."""
-        if not self._calls or not self._calls[0].written:
+    def _handle_answer(self, line: bytes) -> bool:
+        """Take one line as the answer to the oldest call; false if it cannot be one."""
+        if not self._calls or not self._calls[0].is_fully_sent:
             return False
         word, _, rest = line.partition(b" ")
-        level = 0.0
+        total = 0.0
         if word == b"ok":
-            total = number_parsing.parse_signed(rest)
-            if total is None:
+            parsed = number_parsing.parse_signed(rest)
+            if parsed is None:
                 return False
-            level, status = total, interface.Status.DELIVERED
+            total, status = parsed, interface.Status.DELIVERED
         elif word in (b"busy", b"error") and not rest:
             status = interface.Status.SHED
         else:
             return False
-        # Guards against a late answer being taken for the next call's: one given up keeps its place.
-        self._end(self._calls.popleft(), status, level)
+        # A call that has timed out is still in the queue, so a late answer is not taken for the next call's.
+        self._finish_call(self._calls.popleft(), status, total)
         return True
 
-    def _expired(self, call: Call) -> None:
-        # Guards against a call that was told as not added being written, and added, later on.
-        if not call.sent and call in self._unsent:
+    def _on_call_timeout(self, call: Call) -> None:
+        # A call that is reported as never added must not be sent, and added, later on.
+        if not call.sent_bytes and call in self._unsent:
             self._unsent.remove(call)
             self._calls.remove(call)
-        self._end(call, interface.Status.EXPIRED if call.sent else interface.Status.DIAL_FAILED)
-        # Guards against a connection that fell silent being waited on by one call after the other.  One that
-        # is answered late, as by a counter with much to do, is kept: all calls would be late on any.
-        if self._socket is not None and self._calls and self._calls[0].written:
-            quiet = clock.now() - max(self._heard_at, self._calls[0].begun)
-            if quiet > SILENCE_WAITS * self._wait_s * clock.NS_PER_S:
-                log.info("counter: silent")
-                self._lost()
-        self._maybe_close()
-
-    def _end(self, call: Call, status: interface.Status, level: float = 0.0) -> None:
-        if not call.open:
+        self._finish_call(call, interface.Status.EXPIRED if call.sent_bytes else interface.Status.DIAL_FAILED)
+        # If the connection has gone silent, close it, or one call after the other would wait in vain.  If its
+        # answers are only late, as from a busy counter, keep it: calls would be late on any connection.
+        if self._socket is not None and self._calls and self._calls[0].is_fully_sent:
+            silent_ns = clock.now() - max(self._last_received_ns, self._calls[0].started_ns)
+            if silent_ns > SILENT_AFTER_WAITS * self._wait_s * clock.NS_PER_S:
+                log.info("counter: no answers on the open connection; closing it")
+                self._handle_connection_loss()
+        self._close_if_retired_and_idle()
+
+    def _finish_call(self, call: Call, status: interface.Status, total: float = 0.0) -> None:
+        if not call.awaits_result:
             return
-        call.open = False
+        call.awaits_result = False
         if call.timer is not None:
             call.timer.cancel()
-        self._told(interface.Counted(call.action.name, status, level, clock.now() - call.begun))
-
-    def _lost(self) -> None:
-        """The connection is no more; the next call makes a new one."""
-        if not self._heard:  # on a connection that was answered a reset is no sign of a counter that is away
-            self._pause(self._pause_ns, interface.Status.DIAL_FAILED)
-            self._pause_ns = min(LONGEST_PAUSE_NS, 2 * self._pause_ns)
-        self._drop(interface.Status.DIAL_FAILED)
-
-    def _pause(self, about_ns: int, status: interface.Status) -> None:
-        """Dial no sooner than after about this time; calls come to ``status`` until then."""
-        self._not_before = clock.now() + int(about_ns * (0.5 + self._rng.random()))
-        self._away = status
-
-    def _drop(self, never_written: interface.Status) -> None:
-        """End the connection and tell each call what became of it."""
+        self._on_result(interface.Counted(call.action.name, status, total, clock.now() - call.started_ns))
+
+    def _handle_connection_loss(self) -> None:
+        """Close a connection that broke or could not be opened; a later call opens a new one."""
+        # If it has brought answers, its end does not mean that the counter is unreachable: there is no delay.
+        if not self._has_received:
+            self._delay_reconnect(self._reconnect_delay_ns, interface.Status.DIAL_FAILED)
+            self._reconnect_delay_ns = min(MAX_RECONNECT_DELAY_NS, 2 * self._reconnect_delay_ns)
+        self._close_and_finish_calls(interface.Status.DIAL_FAILED)
+
+    def _delay_reconnect(self, about_ns: int, status: interface.Status) -> None:
+        """Connect again only after about this time; calls end with ``status`` until then."""
+        self._reconnect_at_ns = clock.now() + int(about_ns * (0.5 + self._rng.random()))
+        self._status_until_reconnect = status
+
+    def _close_and_finish_calls(self, unsent_status: interface.Status) -> None:
+        """Close the connection and end each call, with ``unsent_status`` if it was not fully sent."""
         calls = list(self._calls)
         self._close()
         for call in calls:
-            self._end(call, interface.Status.EXPIRED if call.written else never_written)
+            self._finish_call(call, interface.Status.EXPIRED if call.is_fully_sent else unsent_status)
 
     def _close(self) -> None:
         if self._dial is not None:
@@ -310,5 +328,5 @@
             self._socket = None
         self._calls.clear()
         self._unsent.clear()
-        self._in = b""
-        self._watching = self._heard = False
+        self._input = b""
+        self._awaits_writable = self._has_received = False
--- a/gingerworks/gateway/discovery.py
+++ b/gingerworks/gateway/discovery.py
@@ -1,4 +1,11 @@
-"""The list of servers: what a start knows of it, and the watch that follows its changes."""
+"""The list of servers: reads it from JSON and watches discovery for its changes.
+
+Discovery holds the answer to one HTTP request open and sends the list, or the changes of it, as a stream of
+JSON objects; an empty line every 2 s shows that the stream is alive.  ``Watch`` keeps such a request open as
+long as the gateway runs, and passes each version of the list on as a ``Change``.  How soon it tries again
+after a failure depends on how far the request had come, see ``WatchState``.  ``change_from`` also reads the
+list that the configuration brings.
+"""
 
 from __future__ import annotations
 
@@ -21,23 +28,34 @@
 from gingerworks.gateway.config import Address, address_from
 from gingerworks.gateway.system_errors import RESOURCE_SHORTAGE, describe_error
 
-# Seconds.  From any change on, all that may come before the list is heard has to fit in TOLD_S, at any number
-# of gateways: either the former watch's silence, a pause, a connection and a first line, or a refusal's pause
-# instead of the first two (the operators' figure: a change counts as told then, whatever call failed before).
-TOLD_S = 6.0
-SILENCE_S = 2.9  # on an open watch: an empty line comes every 2 s, one has failed to come by then
-ANSWER_S = 2.3  # for a call's first line: a crowded discovery turns a call away after some 2 s
-STALL_S = 0.5  # ... or since its last bytes, where that line has begun: the agent writes it in one go
-LOOK_S = 0.02  # a last look after a wait is over: a busy loop sees its timers before what has come
-CONNECT_S = 0.5  # for a connection: the agent is on this machine
-REOPEN_PAUSE_S = 0.05  # where nobody was crowded: what the agent has may count as told, a drain has 0.25 s
-SPARE_S = 0.1  # for a busy loop
-REFUSED_PAUSE_S = TOLD_S - CONNECT_S - ANSWER_S - SPARE_S  # at the most, after a refusal
-CALL_S = 0.1  # of discovery's time, for one call: at first all gateways together ask once in this
-FIRST_PAUSE_S = 0.4  # the bound of the first such pause at the least, however few the gateways
-LINE_BYTES = 1 << 20  # thousands of servers in one line; more is no list
-SERVERS_MOST = 4096
-INDEX_MOST = 1 << 53  # what JSON holds exactly
+# A gateway must know each change of the list at most this long after it: the operators count any later use of
+# the old list as the gateway's fault, whatever failed before.  So the waits below must fit into this time, at
+# any number of gateways: either the silence of an open watch, the delay before it is reopened, a connection
+# and the first line; or the delay after a refusal, a connection and the first line.
+CHANGE_DEADLINE_S = 6.0
+# Of an open watch: discovery sends an empty line every 2 s, so one is certainly missing by then.
+SILENCE_TIMEOUT_S = 2.9
+# From the request to the first line: an overloaded discovery takes about 2 s to refuse a request.
+ANSWER_TIMEOUT_S = 2.3
+# Once an answer has begun, the least wait for more of its first line, from the last bytes received: the
+# discovery agent writes that line in one go.
+LINE_STALL_TIMEOUT_S = 0.5
+# For one more read after a read has timed out: an event loop that was delayed runs its timers before it reads
+# data that had arrived in time.
+FINAL_READ_S = 0.02
+CONNECT_TIMEOUT_S = 0.5  # the discovery agent runs on this machine
+# Mean delay before a watch is opened again, unless it was refused.  It is short because the gateway is
+# expected to know what the agent knows, and a draining server may have a grace period of only 0.25 s.
+REOPEN_DELAY_S = 0.05
+LOOP_DELAY_S = 0.1  # allowance for a busy event loop
+MAX_REFUSED_DELAY_S = CHANGE_DEADLINE_S - CONNECT_TIMEOUT_S - ANSWER_TIMEOUT_S - LOOP_DELAY_S
+# The upper bound of the first delay after a refusal grows by this much with each gateway: this is the share
+# of discovery's time for one request, so all gateways together send about one request in it.
+REFUSED_DELAY_PER_GATEWAY_S = 0.1
+MIN_REFUSED_DELAY_BOUND_S = 0.4  # the least upper bound of that delay, however few gateways there are
+MAX_LINE_BYTES = 1 << 20  # enough for thousands of servers in one line
+MAX_SERVERS = 4096
+MAX_INDEX = 1 << 53  # JSON numbers are exact up to here
 
 PHASES = {
     "Ready": interface.Phase.READY,
@@ -48,12 +66,12 @@
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 log = logging.getLogger(__name__)
-pause = asyncio.sleep
+pause = asyncio.sleep  # a name of its own, which tests replace
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A server as the module knows it, and where it listens."""
+    """A server as the policy knows it, and the address at which it listens."""
 
     server: interface.Server
     address: Address
@@ -61,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A version of the list: the whole of it, or the entries that changed."""
+    """A version of the list: all entries (``full``), or those that changed."""
 
     index: int
     full: bool
@@ -69,20 +87,20 @@
 
 
 def change_from(raw: object) -> Change:
-    """Read one message; a malformed entry is left out, a malformed message raises ``ValueError``."""
+    """Read one message; skips malformed entries and raises ``ValueError`` if the message is malformed."""
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
         raise ValueError("not a list of endpoints")
     index = raw.get("index")
-    if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < INDEX_MOST:
+    if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < MAX_INDEX:
         raise ValueError("index is not a whole number")
-    if len(raw["endpoints"]) > SERVERS_MOST:
+    if len(raw["endpoints"]) > MAX_SERVERS:
         raise ValueError("too many endpoints")
     endpoints = []
     for entry in raw["endpoints"]:
         try:
             endpoints.append(_endpoint(entry))
         except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as fault:
-            log.warning("discovery: entry left out: %.120s", fault)
+            log.warning("discovery: skipping a malformed entry: %.120s", fault)
     return Change(index, raw.get("snapshot") is True, tuple(endpoints))
 
 
@@ -90,14 +108,14 @@
     name, since, weight = entry["name"], entry.get("since_ms", 0), entry.get("weight", 1.0)
     group, phase = entry.get("group", 0), PHASES[str(entry["status"])]
     if not isinstance(name, str) or not name:
-        raise ValueError("name is no text")
+        raise ValueError("name is missing or not a text")
     if not isinstance(since, (int, float)) or not 0 <= since < 1e15:
-        raise ValueError(f"{name}: since_ms is no time")
+        raise ValueError(f"{name}: since_ms is not a time")
     if not isinstance(weight, (int, float)) or not math.isfinite(weight) or weight <= 0:
         weight = 1.0
     address = ("", 0) if phase is interface.Phase.GONE else address_from(entry["address"], name)
     if address[0]:
-        ipaddress.ip_address(address[0])  # guards against a look-up of a name, which would stop the loop
+        ipaddress.ip_address(address[0])  # rejects host names: looking one up would block the event loop
     server = interface.Server(
         name=name,
         phase=phase,
@@ -109,175 +127,198 @@
     return Endpoint(server, address)
 
 
-class Objects:
-    """Cuts the stream into its JSON objects, each on a line of its own or indented over several."""
+class JsonObjectReader:
+    """Splits the stream into JSON objects, each on one line or indented over several."""
 
     def __init__(self) -> None:
         self._lines: list[bytes] = []
         self._size = self._depth = 0
 
-    def add(self, line: bytes) -> bytes | None:
-        """Take in a line that is not empty; the object that it ends, or none.  Junk: ``ValueError``.
+    def add_line(self, line: bytes) -> bytes | None:
+        """Add a line that is not empty; return the object that it completes, if any.
 
-        Guards against an object that broke off swallowing all that follows it: no object holds a list of its
-        own kind on one line, and the empty lines that come within 2 s are told by ``broken_off``.
+        Raises ``ValueError`` for lines that cannot belong to an object.  The objects that follow an
+        incomplete one must not be taken for a part of it.  So a line that holds a whole list raises too if it
+        comes within another object; and at an empty line, which comes within 2 s, the caller finds the
+        incomplete object by ``is_incomplete``.
         """
-        bare = _STRING.sub(b"", line)
-        turn = bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+        without_strings = _STRING.sub(b"", line)
+        depth_change = (
+            without_strings.count(b"{")
+            + without_strings.count(b"[")
+            - without_strings.count(b"}")
+            - without_strings.count(b"]")
+        )
         first = line.lstrip().startswith(b"{")
-        if not first if not self._lines else first and turn == 0 and b'"endpoints"' in line:
-            raise ValueError("a line that cannot be read")
+        if not first if not self._lines else first and depth_change == 0 and b'"endpoints"' in line:
+            raise ValueError("not a line of a JSON object")
         self._lines.append(line)
         self._size += len(line)
-        self._depth += turn
-        if self._size > LINE_BYTES:
+        self._depth += depth_change
+        if self._size > MAX_LINE_BYTES:
             raise ValueError("a line is too long")
         if self._depth > 0:
             return None
-        whole = b"\n".join(self._lines)
+        text = b"\n".join(self._lines)
         self._lines, self._size, self._depth = [], 0, 0
-        return whole
+        return text
 
-    def broken_off(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Whether an object has begun and has not ended."""
         return bool(self._lines)
 
 
-class State(Enum):
-    """How far a watch has come; what its end then means."""
+class WatchState(Enum):
+    """How far a request has come; decides how soon the next one follows its end."""
 
-    DIALLING = "nobody is there: that costs nobody, and it is there again at any moment"
-    SHORT = "this host was short of something: no sign of a crowd, and over at any moment"
-    ASKED = "turned away, or ended in vain: a crowd, which goes only if fewer come"
-    SILENT = "nothing has come: the agent is there and learns nothing, what it learns next counts as told"
-    FOLLOWING = "served: what the agent has goes on counting as told"
+    CONNECTING = (
+        "discovery is not reachable: trying again soon loads no one, and it may be back at any moment"
+    )
+    LOCAL_SHORTAGE = (
+        "this host is short of a resource: discovery is not overloaded, and the shortage may soon be over"
+    )
+    AWAITING_ANSWER = "refused, or ended without an answer: discovery is overloaded, and needs fewer requests"
+    TIMED_OUT = (
+        "nothing was received in time: the agent runs, and what it learns next must be known here soon"
+    )
+    FOLLOWING = "served: the list must stay as recent as the agent's"
 
 
 class Watch:
-    """Follows the list for as long as the gateway runs."""
+    """Watches the list as long as the gateway runs."""
 
     def __init__(
-        self, address: Address, index: int, seed: int, told: Callable[[Change], None], gateways: int = 1
+        self, address: Address, index: int, seed: int, on_change: Callable[[Change], None], gateways: int = 1
     ) -> None:
-        """``index`` is the version already known; ``told`` gets every later change."""
+        """Watch from version ``index``, which is already known; ``on_change`` gets every later change.
+
+        ``gateways`` is the size of the fleet, over which requests are spread after a refusal.
+        """
         self._address = address
         self._index = index
-        self._told = told
+        self._on_change = on_change
         self._rng = random.Random(seed)
-        self._first_pause_s = max(FIRST_PAUSE_S, min(CALL_S * gateways, REFUSED_PAUSE_S))
+        self._first_refused_delay_s = max(
+            MIN_REFUSED_DELAY_BOUND_S, min(REFUSED_DELAY_PER_GATEWAY_S * gateways, MAX_REFUSED_DELAY_S)
+        )
         self._buffer = b""
-        self._objects = Objects()
-        self._state = State.DIALLING
-        self._ended = self._answered = False
-        self._why = ""  # there is no watch, as the operator was told last; none since one was opened
-        self.settled = asyncio.Event()  # the first answer has been taken in, or the first call has failed
+        self._objects = JsonObjectReader()
+        self._state = WatchState.CONNECTING
+        self._response_ended = self._line_received = False
+        # The last logged reason why a request ended; empty once discovery has answered.
+        self._logged_reason = ""
+        self.first_attempt_done = asyncio.Event()  # the first line was processed, or the first request ended
 
     async def run(self) -> None:
-        """Keep a watch open, from the first moment on.
+        """Keep a request open, the first one at once, and never return.
 
-        Guards against a list that is not heard while it changes: what discovery has counts as told in time,
-        whatever became of the calls before.
+        The gateway must know each change within ``CHANGE_DEADLINE_S``, whatever became of earlier requests.
         """
-        most = self._first_pause_s
+        bound = self._first_refused_delay_s
         while True:
-            why, self._state = "it ended", State.DIALLING
+            reason, self._state = "the stream ended", WatchState.CONNECTING
             try:
-                await self._follow()
+                await self._open_and_read()
             except OSError as fault:
-                why = describe_error(fault.errno) if fault.errno else str(fault) or type(fault).__name__
+                reason = describe_error(fault.errno) if fault.errno else str(fault) or type(fault).__name__
                 if fault.errno in RESOURCE_SHORTAGE:
-                    self._state = State.SHORT
+                    self._state = WatchState.LOCAL_SHORTAGE
             except (ValueError, httptools.HttpParserError) as fault:
-                why = str(fault) or type(fault).__name__
+                reason = str(fault) or type(fault).__name__
             except Exception:
-                # Guards against a fault that nobody thought of ending the watch for good, in silence.
-                log.exception("discovery: the watch failed")
-                why, self._index = "a fault", 0
-            self.settled.set()
-            if why != self._why:  # one line for each trouble, however long it lasts
-                self._why = why
-                log.info("discovery: watch to be reopened: %s", why)
-            if self._state is State.ASKED:
-                # Guards against a fleet that was turned away together jamming discovery for good: it has one
-                # capacity for all, and works on calls that nobody waits for any more.  A pause of half the
-                # bound at the least lets that work drain, which pauses from 0 up never did.
-                delay, most = most * (0.5 + 0.5 * self._rng.random()), min(REFUSED_PAUSE_S, 2 * most)
+                # An unexpected error must not end the watch unnoticed; it goes on with the whole list.
+                log.exception("discovery: unexpected error in the watch")
+                reason, self._index = "an unexpected error", 0
+            self.first_attempt_done.set()
+            if reason != self._logged_reason:  # log each failure once, however often it repeats
+                self._logged_reason = reason
+                log.info("discovery: reopening the watch: %s", reason)
+            if self._state is WatchState.AWAITING_ANSWER:
+                # Gateways that were refused together could keep discovery overloaded for good: they share its
+                # capacity, and it also works on requests that were given up.  A delay of at least half the
+                # bound lets it finish those; delays from 0 up never did.
+                delay, bound = bound * (0.5 + 0.5 * self._rng.random()), min(MAX_REFUSED_DELAY_S, 2 * bound)
             else:
-                delay, most = REOPEN_PAUSE_S * (0.5 + self._rng.random()), self._first_pause_s
+                delay, bound = REOPEN_DELAY_S * (0.5 + self._rng.random()), self._first_refused_delay_s
             await pause(delay)
 
-    async def _follow(self) -> None:
+    async def _open_and_read(self) -> None:
         (host, port), time = self._address, asyncio.get_running_loop().time
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
         try:
-            self._state = State.ASKED
+            self._state = WatchState.AWAITING_ANSWER
             target = f"/catalog/members?follow=1&since={self._index}"
             writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode())
-            self._buffer, self._objects, self._ended, self._answered = b"", Objects(), False, False
+            self._buffer, self._objects, self._response_ended, self._line_received = (
+                b"",
+                JsonObjectReader(),
+                False,
+                False,
+            )
             parser = httptools.HttpResponseParser(self)
-            asked_at = time()
-            while not self._ended:
-                data = await self._read(reader, self._patience_s(time() - asked_at))
+            requested_at = time()
+            while not self._response_ended:
+                data = await self._read(reader, self._read_timeout_s(time() - requested_at))
                 if not data:
                     return
                 parser.feed_data(data)
                 if parser.get_status_code() not in (0, 200):
                     raise ValueError(f"status {parser.get_status_code()}")
-                if self._state is State.ASKED and parser.get_status_code() == 200:
-                    self._state, self._why = State.FOLLOWING, ""
+                if self._state is WatchState.AWAITING_ANSWER and parser.get_status_code() == 200:
+                    self._state, self._logged_reason = WatchState.FOLLOWING, ""
                     log.info("discovery: watching from version %d", self._index)
-                self._take_lines()
+                self._process_lines()
         finally:
             writer.close()
 
-    def _patience_s(self, waited_s: float) -> float:
-        """Seconds to wait for further bytes, so many after the call was made."""
-        if self._answered:
-            return SILENCE_S
-        begun = STALL_S if self._state is State.FOLLOWING else 0.0
-        return max(begun, ANSWER_S - waited_s)
+    def _read_timeout_s(self, waited_s: float) -> float:
+        """How long to wait for further bytes, ``waited_s`` after the request was sent."""
+        if self._line_received:
+            return SILENCE_TIMEOUT_S
+        stall_timeout_s = LINE_STALL_TIMEOUT_S if self._state is WatchState.FOLLOWING else 0.0
+        return max(stall_timeout_s, ANSWER_TIMEOUT_S - waited_s)
 
-    async def _read(self, reader: asyncio.StreamReader, patience_s: float) -> bytes:
-        """Guards against a discovery that falls silent with the connection open."""
-        for seconds in (patience_s, LOOK_S):
+    async def _read(self, reader: asyncio.StreamReader, timeout_s: float) -> bytes:
+        """Read what comes within the time-out; raises ``TimeoutError`` if discovery stays silent."""
+        for seconds in (timeout_s, FINAL_READ_S):
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
                     return await reader.read(65536)
-        self._state = State.SILENT
-        raise TimeoutError("it fell silent")
+        self._state = WatchState.TIMED_OUT
+        raise TimeoutError("nothing was received in time")
 
     def on_body(self, body: bytes) -> None:
-        """Parser's callback: a part of the stream."""
+        """Called by the parser with a part of the stream."""
         self._buffer += body
 
     def on_message_complete(self) -> None:
-        """Parser's callback: the stream has ended."""
-        self._ended = True
+        """Called by the parser at the end of the stream."""
+        self._response_ended = True
 
-    def _take_lines(self) -> None:
+    def _process_lines(self) -> None:
         *lines, self._buffer = self._buffer.split(b"\n")
-        if len(self._buffer) > LINE_BYTES:
+        if len(self._buffer) > MAX_LINE_BYTES:
             raise ValueError("a line is too long")
         for line in lines:
             try:
-                self._take_line(line)
+                self._process_line(line)
             except (ValueError, RecursionError) as fault:
-                self._index = 0  # something is missed now: ask for the whole list
-                raise ValueError(f"a line that cannot be read: {fault}") from None
+                self._index = 0  # a change may have been missed: request the whole list
+                raise ValueError(f"invalid line: {fault}") from None
 
-    def _take_line(self, line: bytes) -> None:
+    def _process_line(self, line: bytes) -> None:
         if line.strip():
-            text = self._objects.add(line)
+            text = self._objects.add_line(line)
             if text is None:
                 return
             change = change_from(json.loads(text))
             if not change.full and change.index < self._index:
-                # Guards against a version that was far too high shutting out all later changes.
-                raise ValueError("a change older than the list")
+                # The known version may have been far too high, which would rule out all later changes.
+                raise ValueError("the change is older than the list")
             self._index = change.index
-            self._told(change)
-        elif self._objects.broken_off():
-            raise ValueError("it broke off")
-        self._answered = True
-        self.settled.set()
+            self._on_change(change)
+        elif self._objects.is_incomplete():
+            raise ValueError("a JSON object is incomplete")
+        self._line_received = True
+        self.first_attempt_done.set()
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -21,7 +21,7 @@
 from gingerworks.gateway import clock
 from gingerworks.gateway.backend import Answer, Attempt, Backends
 from gingerworks.gateway.config import Address, Config
-from gingerworks.gateway.counter import Counter
+from gingerworks.gateway.counter import CounterClient
 from gingerworks.gateway.discovery import Change
 from gingerworks.gateway.server_starts import ServerStarts
 from gingerworks.policy import Policy
@@ -132,7 +132,7 @@
             interface.Watch: lambda action: None,  # the gateway always watches the list
             interface.Log: lambda action: log.warning("%s", action.text),
         }
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         self.use_counter(config.counter)
 
     def use_counter(self, address: Address | None) -> None:
@@ -142,7 +142,7 @@
         self.counter = None
         if address is not None:
             wait_ns = self._config.settings.counter_wait_ns
-            self.counter = Counter(self._loop, address, wait_ns, self._config.seed, self._post)
+            self.counter = CounterClient(self._loop, address, wait_ns, self._config.seed, self._post)
             self.counter.connect()
 
     def close(self) -> None:
--- a/gingerworks/gateway/server_starts.py
+++ b/gingerworks/gateway/server_starts.py
@@ -14,7 +14,7 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 from gingerworks.gateway.clock_check import ClockCheck
-from gingerworks.gateway.discovery import SERVERS_MOST, Change, Endpoint
+from gingerworks.gateway.discovery import MAX_SERVERS, Change, Endpoint
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,5 +75,5 @@
     def _unlist(self, names: Set[str]) -> None:
         for name in sorted(names):
             self._unlisted[name] = self._listed.pop(name)
-        while len(self._unlisted) > SERVERS_MOST:
+        while len(self._unlisted) > MAX_SERVERS:
             del self._unlisted[next(iter(self._unlisted))]
--- a/tests/test_discovery_told.py
+++ b/tests/test_discovery_told.py
@@ -14,7 +14,7 @@
 from tests.loopback import Peer, Reader, Writer, entry, listing
 from tests.virtual_time import run
 
-TOLD_S = 6.0  # the operators' figure
+CHANGE_DEADLINE_S = 6.0  # the operators' figure
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 EMPTY = b"1\r\n\n\r\n"
@@ -138,17 +138,18 @@
 def test_a_change_is_heard_in_time_whatever_went_before(trouble: Trouble, gateways: int) -> None:
     # After a refusal a gateway of 40 once paused up to 23 s, one of 1,200 up to 173 s.
     late = [heard_after_s(trouble, gateways, seed) for seed in range(8)]
-    assert max(late) < TOLD_S
+    assert max(late) < CHANGE_DEADLINE_S
 
 
 def test_the_longest_chain_fits_in_the_time_after_which_a_change_counts_as_told() -> None:
     # Each wait at its longest; on virtual time the agent answers at once, and a connection comes up at once.
-    first_line = discovery.CONNECT_S + discovery.ANSWER_S + discovery.LOOK_S
-    reopen = 1.5 * discovery.REOPEN_PAUSE_S + first_line
-    assert discovery.SILENCE_S + discovery.LOOK_S + reopen < TOLD_S  # an open watch fell silent
-    assert first_line + reopen < TOLD_S  # a call was not answered
-    assert discovery.REFUSED_PAUSE_S + first_line < TOLD_S  # one was refused
-    assert discovery.SILENCE_S > HEARTBEAT_S
+    first_line = discovery.CONNECT_TIMEOUT_S + discovery.ANSWER_TIMEOUT_S + discovery.FINAL_READ_S
+    reopen = 1.5 * discovery.REOPEN_DELAY_S + first_line
+    # An open watch falls silent.
+    assert discovery.SILENCE_TIMEOUT_S + discovery.FINAL_READ_S + reopen < CHANGE_DEADLINE_S
+    assert first_line + reopen < CHANGE_DEADLINE_S  # a call was not answered
+    assert discovery.MAX_REFUSED_DELAY_S + first_line < CHANGE_DEADLINE_S  # one was refused
+    assert discovery.SILENCE_TIMEOUT_S > HEARTBEAT_S
 
 
 class Overbooked:
--- a/tests/test_full_client_table.py
+++ b/tests/test_full_client_table.py
@@ -188,7 +188,7 @@
         back.set()
         await until(lambda: [s.name for s in gw.backends.servers()] == ["s9"])
         assert len(pauses) == 500
-        assert max(pauses) <= 1.5 * discovery.REOPEN_PAUSE_S
+        assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert len(clients) == 40
 
     run(scenario())
--- a/tests/test_gateway_counter.py
+++ b/tests/test_gateway_counter.py
@@ -10,19 +10,19 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 from gingerworks.gateway.config import Address
-from gingerworks.gateway.counter import Counter
+from gingerworks.gateway.counter import CounterClient
 from tests.loopback import Peer, Reader, Writer, closed_port, run, until
 
 WAIT_NS = 20_000_000_000  # a busy machine must not make a call late
 SHORT_NS = 80_000_000
 
 
-def counter(address: Address, wait_ns: int = WAIT_NS) -> tuple[Counter, list[interface.Counted]]:
+def counter(address: Address, wait_ns: int = WAIT_NS) -> tuple[CounterClient, list[interface.Counted]]:
     told: list[interface.Counted] = []
-    return Counter(asyncio.get_running_loop(), address, wait_ns, 7, told.append), told
+    return CounterClient(asyncio.get_running_loop(), address, wait_ns, 7, told.append), told
 
 
-async def made_up(counter: Counter) -> None:
+async def made_up(counter: CounterClient) -> None:
     """Wait until its connection is up: what is called from now on is written at once."""
     counter.connect()
     await until(lambda: counter._socket is not None)
@@ -194,13 +194,13 @@
         made, _ = counter(peer.address)
         await made_up(made)
         made.call(call(1))
-        await until(lambda: made._calls[0].written)
-        made._calls[0].begun -= 60_000_000_000
-        made._heard_at = clock.now()
-        made._expired(made._calls[0])
+        await until(lambda: made._calls[0].is_fully_sent)
+        made._calls[0].started_ns -= 60_000_000_000
+        made._last_received_ns = clock.now()
+        made._on_call_timeout(made._calls[0])
         assert made._socket is not None
-        made._heard_at -= 60_000_000_000
-        made._expired(made._calls[0])
+        made._last_received_ns -= 60_000_000_000
+        made._on_call_timeout(made._calls[0])
         assert made._socket is None
 
     run(scenario())
@@ -212,7 +212,7 @@
         made, told = counter(peer.address)
         made.call(call(1))
         await until(lambda: len(told) == 1)
-        made._used_at -= 60_000_000_000
+        made._last_used_ns -= 60_000_000_000
         made.call(call(2))
         await until(lambda: len(told) == 2)
         assert peer.connections == 2
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -118,9 +118,9 @@
 
 
 def test_a_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
-    monkeypatch.setattr(discovery, "ANSWER_S", 0.05)
-    monkeypatch.setattr(discovery, "STALL_S", 0.05)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery, "LINE_STALL_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
@@ -285,17 +285,17 @@
 def test_a_discovery_that_turns_watches_away_is_asked_less_and_less() -> None:
     # A refusal once counted as a sign of life: 40 gateways asked five times a second each, and got nothing.
     # The pauses grow no further than the time in which a change counts as told allows.
-    for gateways, first in ((1, 0.4), (40, discovery.REFUSED_PAUSE_S)):
+    for gateways, first in ((1, 0.4), (40, discovery.MAX_REFUSED_DELAY_S)):
         paused = [pauses_of(seed, gateways, TURNED_AWAY, 6) for seed in range(20)]
         for number, each in enumerate(zip(*paused, strict=True)):
-            bound = min(first * 2**number, discovery.REFUSED_PAUSE_S)
+            bound = min(first * 2**number, discovery.MAX_REFUSED_DELAY_S)
             assert 0.5 * bound <= min(each)
             assert max(each) <= bound
 
 
 def test_a_large_fleet_comes_back_spread_out_after_being_refused() -> None:
     # No part of the time in which all come back gets many more than its share.
-    least = 0.5 * discovery.REFUSED_PAUSE_S
+    least = 0.5 * discovery.MAX_REFUSED_DELAY_S
     firsts = [pauses_of(seed, 200, TURNED_AWAY, 1)[0] for seed in range(100)]
     fifths = [sum(n <= 5 * (first / least - 1) < n + 1 for first in firsts) for n in range(5)]
     assert sum(fifths) == 100
@@ -360,9 +360,9 @@
 def test_after_silence_the_next_call_follows_at_once(said: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     # Silence is noticed after 5 s and what it hides counts as told after 6: no pause of 1.5 s fits between.
     # A call that was never answered once waited 2 to 6 s more, then 4 to 12.
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
-    monkeypatch.setattr(discovery, "ANSWER_S", 0.05)
-    monkeypatch.setattr(discovery, "STALL_S", 0.05)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery, "LINE_STALL_TIMEOUT_S", 0.05)
     paused: list[float] = []
 
     async def pause(seconds: float) -> None:
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -14,7 +14,7 @@
 import pytest
 
 from gingerworks import interface
-from gingerworks.gateway.counter import Counter
+from gingerworks.gateway.counter import CounterClient
 from tests.loopback import (
     OK,
     Client,
@@ -171,7 +171,7 @@
 
         peer = await Peer(script).start()
         told: list[interface.Counted] = []
-        made = Counter(asyncio.get_running_loop(), peer.address, 20_000_000_000, 7, told.append)
+        made = CounterClient(asyncio.get_running_loop(), peer.address, 20_000_000_000, 7, told.append)
         made.call(interface.Count(1, 2.0, 60_000_000_000))
         await until(lambda: len(peer.requests) == 1)
         made.retire()
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -89,9 +89,9 @@
     # Of all times only the one for the first answer can ring within the test, where that answer never comes.
     answers = how in ("nobody", "refusing")
     monkeypatch.setattr(command, "FIRST_LIST_S", 1e6 if answers else 0.02)
-    monkeypatch.setattr(discovery, "CONNECT_S", 1e6)
-    monkeypatch.setattr(discovery, "SILENCE_S", 1e6)
-    monkeypatch.setattr(discovery, "ANSWER_S", 1e6)
+    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 1e6)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 1e6)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 1e6)
     monkeypatch.setattr(discovery, "pause", lambda seconds: asyncio.sleep(1e6))
 
     async def scenario() -> None:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -165,7 +165,7 @@
     pieces: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 1e6)  # nothing more is told
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 1e6)  # nothing more is told
 
     async def scenario() -> None:
         peers = [await answering(OK) for _ in range(LISTENERS)]
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -276,7 +276,7 @@
             for number in range(100):
                 made.call(counted(number))
             await until(lambda: len(told) == before + 100)  # noqa: B023
-            now[0] += 3 * counter_module.FIRST_PAUSE_NS // 2
+            now[0] += 3 * counter_module.MIN_RECONNECT_DELAY_NS // 2
         assert {answer.status for answer in told} == {interface.Status.UNUSED}
         assert faults.counts[call] == 8  # one dial for each pause, however many calls
         assert faults.all_closed()
@@ -304,7 +304,7 @@
             await until(lambda: bool(told))
         assert told[0].status is interface.Status.UNUSED
         assert faults.all_closed()
-        now[0] += 2 * counter_module.FIRST_PAUSE_NS
+        now[0] += 2 * counter_module.MIN_RECONNECT_DELAY_NS
         made.call(counted(2))
         await until(lambda: len(told) == 2)
         assert told[1].status is interface.Status.DELIVERED
@@ -324,7 +324,7 @@
         made.call(counted(1))
         await until(lambda: len(told) == 1)
         assert told[0].status is interface.Status.DIAL_FAILED
-        assert made._pause_ns == 2 * counter_module.FIRST_PAUSE_NS
+        assert made._reconnect_delay_ns == 2 * counter_module.MIN_RECONNECT_DELAY_NS
 
     run(scenario())
 
@@ -990,7 +990,7 @@
         peer, told = await watching(WHOLE)
         await until(lambda: bool(told))
         assert len(pauses) == 200
-        assert all(0.5 <= seconds / discovery.REOPEN_PAUSE_S <= 1.5 for seconds in pauses)
+        assert all(0.5 <= seconds / discovery.REOPEN_DELAY_S <= 1.5 for seconds in pauses)
         assert peer.connections == 1
         assert peer.task is not None
         peer.task.cancel()
@@ -1009,7 +1009,7 @@
         first_reads_that_fail(monkeypatch, code, times=20)
         peer, told = await watching(*([[]] * 20), WHOLE)
         await until(lambda: bool(told))
-        assert max(pauses) <= 1.5 * discovery.REOPEN_PAUSE_S
+        assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert peer.task is not None
         peer.task.cancel()
 
@@ -1029,9 +1029,9 @@
         first_reads_that_fail(monkeypatch, code, times=20)
         peer, told = await watching(*([[]] * 20), WHOLE)
         await until(lambda: bool(told))
-        least = 0.5 * discovery.REFUSED_PAUSE_S if crowded else 0.0
+        least = 0.5 * discovery.MAX_REFUSED_DELAY_S if crowded else 0.0
         assert least <= max(pauses)
-        assert max(pauses) <= (discovery.REFUSED_PAUSE_S if crowded else 1.5 * discovery.REOPEN_PAUSE_S)
+        assert max(pauses) <= (discovery.MAX_REFUSED_DELAY_S if crowded else 1.5 * discovery.REOPEN_DELAY_S)
         assert peer.task is not None
         peer.task.cancel()
 
