--- a/tests/quota_fleet.py
+++ b/tests/quota_fleet.py
@@ -323,8 +323,8 @@
         for customer in self.rng.sample(self.customers, HOT_CUSTOMERS):
             self.schedule(int(deployment.hot_period_s[0] * SECOND), partial(self.flood, customer=customer))
 
-    def schedule(self, at: int, run: Callable[[int], None]) -> None:
-        heapq.heappush(self.agenda, (at, next(self.serial), run))
+    def schedule(self, at: int, callback: Callable[[int], None]) -> None:
+        heapq.heappush(self.agenda, (at, next(self.serial), callback))
 
     def new_customer(self, plan: interface.Plan, number: int) -> SimulatedCustomer:
         deployment, rng = self.deployment, self.rng
@@ -472,6 +472,6 @@
         """Run the simulation to its end."""
         end_ns = self.deployment.seconds * SECOND
         while self.agenda[0][0] < end_ns:
-            now, _, run = heapq.heappop(self.agenda)
-            run(now)
+            now, _, callback = heapq.heappop(self.agenda)
+            callback(now)
         return self.result
