--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -58,9 +58,7 @@
 MAX_BEACON_INTERVAL_SMALL_NS = 3 * SECOND  # between the beacons of one gateway of a small fleet
 MAX_FIRST_BEACON_NS = 3 * SECOND  # until the first beacon: gateways that start at the same time wait for it
 ALONE_INTERVAL_NS = SECOND  # between the beacons of a gateway that assumes that it is alone
-COUNTER_RETURN_NS = (
-    2 * ALONE_INTERVAL_NS
-)  # until gateways in agreement have sent beacons to a counter that is back
+COUNTER_RETURN_NS = 2 * ALONE_INTERVAL_NS  # after an outage, until others have surely sent beacons again
 SMALL_FLEET_GATEWAYS = 50  # the first reads of so many do not crowd the counter
 FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # the first reads of a larger fleet are spread over so long
 SECOND_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # second reads, if the first one found no beacon, over so long,
