--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -17,6 +17,7 @@
 
 A gateway has one such call to the counter out at a time; ``ClockSync.handle_answer`` schedules the next one.
 Times are nanoseconds of the gateway's own clock, which only advances, unless they are said to be agreed ones.
+``docs/design.md`` describes the protocol.
 """
 
 from __future__ import annotations
@@ -57,9 +58,7 @@
 MAX_BEACON_INTERVAL_SMALL_NS = 3 * SECOND  # between the beacons of one gateway of a small fleet
 MAX_FIRST_BEACON_NS = 3 * SECOND  # until the first beacon: gateways that start at the same time wait for it
 ALONE_INTERVAL_NS = SECOND  # between the beacons of a gateway that assumes that it is alone
-COUNTER_RETURN_NS = (
-    2 * ALONE_INTERVAL_NS
-)  # until gateways in agreement have sent beacons to a counter that is back
+COUNTER_RETURN_NS = 2 * ALONE_INTERVAL_NS  # after an outage, until others have surely sent beacons again
 SMALL_FLEET_GATEWAYS = 50  # the first reads of so many do not crowd the counter
 FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # the first reads of a larger fleet are spread over so long
 SECOND_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # second reads, if the first one found no beacon, over so long,
@@ -315,10 +314,10 @@
             spread = min(self._gateways * SECOND_READ_SPREAD_PER_GATEWAY_NS, MAX_SECOND_READ_SPREAD_NS)
             self._schedule(Purpose.READ, now + int(self._rng.random() * spread))
             return
-        found_lately = (
+        found_recently = (
             self._presence_found_ns is not None and now - self._presence_found_ns < PRESENCE_RECHECK_NS
         )
-        if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_lately:
+        if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_recently:
             self._schedule(Purpose.CHECK_FIRST, now)
         else:
             self._schedule_reread(now)
