--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -1,9 +1,9 @@
 """One client connection: reads HTTP/1 requests within size limits and writes one answer to each.
 
-Requests are handled one at a time, in the order in which they came.  At most ``MAX_READ_AHEAD`` further ones
-are read meanwhile; then reading pauses, so that a client that pipelines many requests cannot fill the memory.
-A request that is not valid HTTP, or that breaks a limit, is rejected with an error status; after that nothing
-more is read, and the connection closes once the requests before it have their answers.  ``check_timeouts``
+Requests are handled one at a time, in the order in which they came.  While more than ``MAX_READ_AHEAD``
+further ones wait, reading pauses, so that a client that pipelines many requests cannot fill the memory.  A
+request that is not valid, or that breaks a limit, is rejected with an error status; after that nothing more
+is read, and the connection closes once all requests that were read have their answers.  ``check_timeouts``
 closes connections that are silent, stop within a request, or do not read their answer.
 """
 
@@ -69,7 +69,8 @@
         self.reading_paused = False
         self.write_blocked = False  # the client is slow to read the answers that were written
         self.receiving = self.receiving_head = False  # within a message, and within its head
-        # Messages begun in the latest read; bytes of the incomplete message, from reads of nothing else.
+        # Messages begun in the latest read; bytes received of the incomplete message, without those of a read
+        # that also held other messages.
         self.messages_begun = self.incomplete_bytes = 0
         self.held_body_bytes = 0  # counted against the limit over all clients
         self.arrived_at_ns = 0  # the earliest time at which the data being parsed can have come
@@ -90,7 +91,10 @@
         self.owner.connection_closed(self)
 
     def pause_writing(self) -> None:
-        """Called by the transport when its write buffer is full: begins no further request meanwhile."""
+        """Called by the transport when its write buffer is full: begins no further request meanwhile.
+
+        Otherwise answers would pile up for a client that does not read them.
+        """
         self.write_blocked = True
 
     def resume_writing(self) -> None:
@@ -166,7 +170,11 @@
             self._pause()
 
     def on_message_begin(self) -> None:
-        """Called by the parser at the start of a request; may start the wait for the rest of it."""
+        """Called by the parser at the start of a request.
+
+        Its timeout starts here, except for the first request, whose timeout started at the accept, and for
+        one behind a request in flight, whose timeout starts with the answer to that one.
+        """
         self.message = Message()
         self.receiving = self.receiving_head = True
         self.messages_begun += 1
@@ -259,7 +267,7 @@
         self._finish_request(200, answer.body, b"".join(b"%b: %b\r\n" % header for header in answer.headers))
 
     def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
-        """Final answer refused: 503 if the request was sent to a server (``sent_on``), else 429."""
+        """Final answer refused: 503 if an attempt was made (``sent_on``), else 429."""
         head = b"Retry-After: %.3f\r\n" % (retry_after_ns / clock.NS_PER_S)
         self._finish_request(503 if sent_on else 429, b"refused", head)
 
@@ -344,7 +352,7 @@
             return False  # unknown for the moment; a client that may still be there is owed an answer
 
     def disconnect_may_be_hidden(self) -> bool:
-        """Whether so much input is unread that a close behind it would not be visible to the kernel."""
+        """Whether so much input is unread that the kernel may not have received a close behind it."""
         if not self.reading_paused:
             return False
         threshold = HIDDEN_DISCONNECT_REJECTED_BYTES if self.reading_stopped else HIDDEN_DISCONNECT_BYTES
@@ -396,7 +404,8 @@
     def is_idle(self) -> bool:
         """Whether it is between requests and all answers are sent.
 
-        With an answer unsent, a close would wait for the client to read it and free no room until then.
+        With an answer unsent it is not idle: an abort would cut that answer off, and a close would wait for
+        the client to read it and free no room until then.
         """
         return self.has_no_request() and not self.has_unsent_output()
 
