--- a/gingerworks/gateway/client_table.py
+++ b/gingerworks/gateway/client_table.py
@@ -1,7 +1,8 @@
 """The table of client connections: how many may be open, the state of each, and which to close for room.
 
-A connection is new (nothing was asked on it yet), busy, idle (between requests) or closing (its last answer
-is written).  When the table is full, or descriptors run out, ``make_room`` closes some that matter least.
+A connection is new (no request was handled on it yet), busy, idle (between requests) or closing (its last
+answer is written).  When the table is full, or descriptors run out, ``make_room`` closes some that matter
+least.
 """
 
 from __future__ import annotations
@@ -78,9 +79,9 @@
         4. those with an incomplete request, after the time of grace.
 
         So hundreds of clients that connect and send nothing, or don't close after a rejection, can't keep out
-        those that send requests.  While silent new connections fill half of the table, the idle ones are
-        spared and the grace of the new ones is waited for.  With fewer that would not be right: each new one
-        would delay all clients in the backlog by its grace.
+        those that send requests.  While silent new connections fill more than half of the table, the idle
+        ones are spared and the grace of the new ones is waited for.  With fewer that would not be right: each
+        new one would delay all clients in the backlog by its grace.
         """
         if self.evicted:
             return  # their end will make room
