--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -244,7 +244,8 @@
         now = clock.now()
         schedule = self._shutdown.start(now)
         self.runtime.begin_shutdown(schedule.answers_due_ns)
-        self._watch_listener()  # serves the backlog even if the start, which delays it, is not over
+        # Accepting may still wait for the first server list; the backlog has to be served without it now.
+        self._watch_listener()
         self.clients.close_idle()
         self._call_after_ns(self._shutdown.accept_remaining_ns(now), self._close_listener)
         self._call_after_ns(schedule.answers_due_ns - now, self._answers_due)
@@ -262,7 +263,8 @@
             self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
             return
         if not self._accept_batch():
-            # Closing now would reset connections that are in the backlog because of a full table or turn.
+            # Closing now would reset the connections that are still in the backlog, as the table is full or
+            # one turn accepts only so many.
             self.loop.call_later(ACCEPT_PAUSE_S, self._close_listener)
             return
         self._stop_listening()
