--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -184,8 +184,8 @@
             now - self._rotated_at_ns >= self._id_lifetime_ns
             or len(self._recent_ids) >= MAX_REMEMBERED_IDS // 2
         ):
-            # Two sets bound the memory and the time: each takes new ids for one lifetime and is then kept as
-            # the older one until the next rotation.
+            # Two sets bound the memory and the time: each takes new ids for one lifetime, or until it is
+            # full, and is then kept as the older one until the next rotation.
             older = self._recent_ids if now - self._rotated_at_ns < 2 * self._id_lifetime_ns else set()
             self._recent_ids, self._older_ids, self._rotated_at_ns = set(), older, now
         self._recent_ids.add(correlation_id)
