--- a/gingerworks/gateway/arrival_times.py
+++ b/gingerworks/gateway/arrival_times.py
@@ -67,7 +67,7 @@
             self._empty_at_ns, self._paused = began_at_ns, False
 
     def end_read(self, emptied: bool) -> ArrivalTimes:
-        """The arrival times of this read's data; ``emptied`` says that it left none of what was there."""
+        """The arrival times of this read's data; ``emptied`` says that it took all that was unread."""
         now = clock.now()
         age = last_data_age_ns(self._socket)
         latest_ns = now if age is None else min(now, max(now - age, self._empty_at_ns))
--- a/gingerworks/gateway/shutdown.py
+++ b/gingerworks/gateway/shutdown.py
@@ -14,8 +14,8 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 
-# SIGKILL comes no sooner after SIGTERM than the longest deadline of the classes, of which the supervisor
-# counts at most MAX_COUNTED_DEADLINE_NS, and then KILL_DELAY_NS.
+# SIGKILL comes no sooner after SIGTERM than the longest deadline of the classes plus KILL_DELAY_NS.  Of that
+# deadline the supervisor counts at most MAX_COUNTED_DEADLINE_NS.
 MAX_COUNTED_DEADLINE_NS = 3 * clock.NS_PER_S
 KILL_DELAY_NS = 700 * clock.NS_PER_MS
 STALL_ALLOWANCE_NS = 150 * clock.NS_PER_MS  # a busy machine may delay the write of an answer by so much
