--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -62,7 +62,7 @@
 
 
 def hold_connects(monkeypatch: pytest.MonkeyPatch) -> list[Callable[[], None]]:
-    """Hold connections to servers while they open; the test calls the functions of this list to go on."""
+    """Hold connections to servers while they open; each function of the returned list lets one go on."""
     held_connects: list[Callable[[], None]] = []
 
     class HeldDial(Dial):
@@ -464,9 +464,8 @@
 def test_disconnect_in_the_backlog_of_a_full_client_table_prevents_the_attempt(
     disconnect: Callable[[BlockingClient], None], shutting_down: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(
-        backend, "MIN_IDLE_BEFORE_REUSE_NS", 0
-    )  # an idle connection to a server carries the request in the same loop turn
+    # An idle connection to a server carries the request in the same loop turn.
+    monkeypatch.setattr(backend, "MIN_IDLE_BEFORE_REUSE_NS", 0)
 
     async def scenario() -> None:
         server, release = await held_server()
--- a/tests/test_full_client_table.py
+++ b/tests/test_full_client_table.py
@@ -39,7 +39,7 @@
 from tests.test_gateway_discovery import HEAD, line
 
 SOCKETS = 256
-EIGHT_CLIENTS = {"sockets": 64}
+EIGHT_CLIENTS = {"sockets": 64}  # leaves a budget of eight client connections
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -121,7 +121,7 @@
                 assert (await client.send(ask()))[0] == 200  # idle from now on
             clients += [await Client.at(process.address) for _ in range(200)]  # silent
 
-            async def more() -> None:
+            async def keep_connecting() -> None:
                 nonlocal max_descriptors
                 while True:
                     fresh = await Client.at(process.address)
@@ -130,7 +130,7 @@
                     max_descriptors = max(max_descriptors, process.descriptors())
                     await asyncio.sleep(0.001)
 
-            crowding = asyncio.ensure_future(more())
+            connecting = asyncio.ensure_future(keep_connecting())
             await until(lambda: max_descriptors > SOCKETS // 3)  # the table is full
             # The counter closes its connection and discovery lists another server: both need new connections.
             for writer in counter.writers:
@@ -145,8 +145,8 @@
             await send_with_reconnects(process, ask(X_Contract="small"))
             await until(lambda: len(counter.requests) > line_count)
             assert (await send_with_reconnects(process, ask()))[0] == 200
-            assert not crowding.done()
-            crowding.cancel()
+            assert not connecting.done()
+            connecting.cancel()
             assert max_descriptors <= SOCKETS
             assert "Too many open files" not in process.log()
 
@@ -181,9 +181,8 @@
         monkeypatch.setattr(discovery, "pause", pause)
         gw = gateway(discovery=discovery_peer.address, limits=EIGHT_CLIENTS)
         clients = [await Client.to(gw) for _ in range(40)]
-        await until(
-            lambda: len(pauses) == 500
-        )  # after hundreds of refused connects, with a table full of idle clients
+        # After hundreds of refused connects, with a table full of idle clients.
+        await until(lambda: len(pauses) == 500)
         await discovery_peer.listen(entry("s9", ("127.0.0.1", 1)))
         back.set()
         await until(lambda: [s.name for s in gw.backends.servers()] == ["s9"])
@@ -242,8 +241,8 @@
 def test_incomplete_requests_alone_do_not_keep_out_complete_ones(
     has_requested: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Connections with an incomplete request used to be spared, first on used connections and then on all, so
-    # new requests waited for their timeout of 2 s.  The test disables that timeout.
+    # Connections with an incomplete request used to be spared, first only used ones and then all, so new
+    # requests waited until those timed out after 2 s.  The test disables that timeout.
     monkeypatch.setattr("gingerworks.gateway.client.REQUEST_TIMEOUT_NS", 1 << 62)
 
     async def scenario() -> None:
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -530,9 +530,8 @@
         for client in clients:
             try:
                 assert (await client.send(ask()))[0] == 200
-            except (
-                asyncio.IncompleteReadError
-            ):  # the idle connection was evicted: clients send the request once more
+            except asyncio.IncompleteReadError:
+                # The idle connection was evicted: clients send the request once more.
                 assert (await (await Client.to(gw)).send(ask()))[0] == 200
             max_open = max(max_open, len(gw.frontend.clients.open))
         assert max_open <= 8
@@ -654,7 +653,7 @@
 
 
 def test_attempt_started_in_the_turn_of_the_disconnect_is_cleaned_up() -> None:
-    # In one loop turn the decision module starts a further attempt and is then told of the disconnect.
+    # In one loop turn the decision module starts a further attempt and is then informed of the disconnect.
     async def scenario() -> None:
         server = await silent()
         gw = gateway(server.address)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -27,7 +27,7 @@
 )
 from tests.test_gateway_clients import held_server
 
-EIGHT_CLIENTS = raw_config()["limits"] | {"sockets": 64}
+EIGHT_CLIENTS = raw_config()["limits"] | {"sockets": 64}  # leaves a budget of eight client connections
 
 
 def connect_and_send(gw: Gateway, request: bytes) -> socket.socket:
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -40,7 +40,7 @@
 
 KILL_DELAY_S = 0.7
 MAX_COUNTED_DEADLINE_S = 3.0
-STALL_S = 0.14  # a gateway may stall for 0.15 s between reading its clock and a write
+STALL_S = 0.14  # just below the 0.15 s for which a gateway may stall between reading its clock and a write
 UNIX_NS = 1_700_000_000 * clock.NS_PER_S
 
 
@@ -566,8 +566,8 @@
     late.writer.write(ask("look", left="0.500")[:30])  # incomplete, so that this connection is not idle
     await asyncio.sleep(0)
     process.terminate()
-    # A connection without a request is closed after a while with no new one; on a busy machine that could be
-    # before an asynchronous send, so connect and send at once.
+    # Once no new connection has come for a while, those without a request are closed.  On a busy machine that
+    # could be before an asynchronous send, so connect and send at once.
     sock = socket.create_connection(process.address)
     sock.sendall(ask("post", left="0.500"))
     latest = loopback.Client(*await asyncio.open_connection(sock=sock))
