--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -996,7 +996,7 @@
         peer.task.cancel()
 
     run(scenario())
-    (said,) = [record.message for record in caplog.records if "to be reopened" in record.message]
+    (said,) = [record.message for record in caplog.records if "reopening the watch" in record.message]
     assert f"[Errno {code}]" in said
 
 
