--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -21,7 +21,7 @@
 from gingerworks.gateway import counter as counter_module
 from gingerworks.gateway.__main__ import Gateway
 from gingerworks.gateway.discovery import change_from
-from tests.fault_injection import Call, Fault, Faults, FaultySocket
+from tests.fault_injection import Call, Fault, FaultySocket, FaultySocketModule
 from tests.loopback import (
     BODY,
     OK,
@@ -50,9 +50,9 @@
 FOR_GOOD = 1 << 30
 
 
-def injected(monkeypatch: pytest.MonkeyPatch, *faults: Fault, **sizes: int) -> Faults:
-    """Faults in the sockets that lead to servers and to the counter."""
-    made = Faults(*faults, **sizes)
+def injected(monkeypatch: pytest.MonkeyPatch, *faults: Fault, **sizes: int) -> FaultySocketModule:
+    """FaultySocketModule in the sockets that lead to servers and to the counter."""
+    made = FaultySocketModule(*faults, **sizes)
     monkeypatch.setattr(dial, "socket", made)
     return made
 
@@ -104,14 +104,14 @@
             status, head, _ = await client.send(ask("post"))  # may not run twice, so it must be known not to
             assert status == 503
             assert b"Retry-After" in head
-        assert faults.counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
+        assert faults.call_counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         assert faults.all_closed()
         assert not one.requests + two.requests
         said = [record for record in caplog.records if "cannot connect to servers" in record.message]
         if call in (Call.SOCKET, Call.SETSOCKOPT, Call.CONNECT):
             assert len(said) == 1
-        faults.failing([])
+        faults.replace_faults([])
         for _ in range(8):
             assert (await client.send(ask("post")))[0] == 200
 
@@ -129,7 +129,7 @@
         call = Call.SOCKET if code == errno.EMFILE else Call.CONNECT
         faults = injected(monkeypatch, Fault(call, code, times=2))
         assert (await (await Client.to(made)).send(ask("post")))[0] == 200
-        assert faults.raised[call] == 2
+        assert faults.fault_counts[call] == 2
         assert len(server.requests) == 1
 
     run(scenario())
@@ -278,9 +278,9 @@
             await until(lambda: len(told) == before + 100)  # noqa: B023
             now[0] += 3 * counter_module.FIRST_PAUSE_NS // 2
         assert {answer.status for answer in told} == {interface.Status.UNUSED}
-        assert faults.counts[call] == 8  # one dial for each pause, however many calls
+        assert faults.call_counts[call] == 8  # one dial for each pause, however many calls
         assert faults.all_closed()
-        faults.failing([])
+        faults.replace_faults([])
         made.call(counted(1000))
         await until(lambda: len(told) == 801)
         assert told[-1].status is interface.Status.DELIVERED
@@ -364,7 +364,7 @@
     async def scenario() -> None:
         server = await answering(OK)
         made = make_backends(server.address)
-        faults = injected(monkeypatch, Fault(Call.SEND, code, first=first), most_sent=16)
+        faults = injected(monkeypatch, Fault(Call.SEND, code, first=first), max_sent=16)
         assert await run_attempt(made) is status
         if status is not interface.Status.DELIVERED:
             assert faults.all_closed()
@@ -386,9 +386,9 @@
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
-        assert faults.counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
+        assert faults.call_counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
-        faults.failing([])
+        faults.replace_faults([])
         assert (await client.send(ask("post")))[0] == 200
         assert len(one.requests + two.requests) == 1
 
@@ -423,7 +423,7 @@
             writer.write(answer)
 
         server = await Peer(script).start()
-        injected(monkeypatch, Fault(Call.RECV, code, first=first), most_received=16)
+        injected(monkeypatch, Fault(Call.RECV, code, first=first), max_received=16)
         made, ended = make_backends(server.address), Results()
         made.start(make_attempt(ended))
         await until(lambda: bool(ended))
@@ -449,10 +449,10 @@
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
         made, ended = make_backends(server.address), Results()
         made.start(make_attempt(ended))
-        await until(lambda: faults.raised[Call.RECV] > 0)
+        await until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
-        assert faults.raised[Call.RECV] == 1
-        faults.failing([])
+        assert faults.fault_counts[Call.RECV] == 1
+        faults.replace_faults([])
         (connection,) = made._open
         assert connection.socket is not None
         read_retry.retry_read(made.loop, connection.socket, connection.on_readable, lambda: True)
@@ -473,9 +473,9 @@
         peer = await scripted(echoing)
         made, _ = counter(peer.address)
         made.call(counted(1, 1.5))
-        await until(lambda: faults.raised[Call.RECV] > 0)
+        await until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
-        assert faults.raised[Call.RECV] == 1
+        assert faults.fault_counts[Call.RECV] == 1
         made.close()
 
     run(scenario())
@@ -485,7 +485,7 @@
     async def scenario() -> None:
         server = await answering(OK)
         made = gateway(server.address)
-        injected(monkeypatch, most_sent=1, most_received=1)
+        injected(monkeypatch, max_sent=1, max_received=1)
         client = await Client.to(made)
         for _ in range(3):
             request = ask("post", body=b"some bytes")
@@ -500,9 +500,9 @@
     run(scenario())
 
 
-def listening(monkeypatch: pytest.MonkeyPatch, made: Gateway, *faults: Fault) -> Faults:
-    """Faults in the sockets of clients, and in the listener that a gateway has opened already."""
-    injected_here = Faults(*faults)
+def listening(monkeypatch: pytest.MonkeyPatch, made: Gateway, *faults: Fault) -> FaultySocketModule:
+    """FaultySocketModule in the sockets of clients, and in the listener that a gateway has opened already."""
+    injected_here = FaultySocketModule(*faults)
     listener = made.frontend._listener
     assert listener is not None
     faulty = FaultySocket(injected_here, listener.family, listener.type, fileno=listener.detach())
@@ -550,7 +550,7 @@
         made = gateway()
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ECONNABORTED, times=FOR_GOOD))
         assert not made.frontend._accept_batch()
-        assert faults.counts[Call.ACCEPT] == frontend.ACCEPTS_PER_TURN
+        assert faults.call_counts[Call.ACCEPT] == frontend.ACCEPTS_PER_TURN
 
     run(scenario())
 
@@ -570,11 +570,11 @@
         assert not made.frontend._listener_watched  # no spin
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await resting.send(HEALTH)
-        await until(lambda: faults.counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
+        await until(lambda: faults.call_counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
         (said,) = [record.message for record in caplog.records if record.message.startswith("accept")]
         assert f"[Errno {code}]" in said
         assert ";" in said  # what can be done about it
-        faults.failing([])
+        faults.replace_faults([])
         for client in waiting:
             assert (await client.send(HEALTH))[0] == 200
 
@@ -591,7 +591,7 @@
         resting, waiting = await resting_and_waiting(made)
         faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.EINVAL))
         assert not made.frontend._accept_batch()
-        assert faults.counts[Call.ACCEPT] == 1  # no spin
+        assert faults.call_counts[Call.ACCEPT] == 1  # no spin
         for client in [resting, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
 
@@ -676,7 +676,7 @@
 
 async def come_but_not_read(
     monkeypatch: pytest.MonkeyPatch, made: Gateway, asked: bool
-) -> tuple[Client, Faults]:
+) -> tuple[Client, FaultySocketModule]:
     """A client whose next request lies in the gateway's kernel buffer, unread, and its socket's faults."""
     faults = listening(monkeypatch, made)
     client = await Client.to(made)
@@ -717,9 +717,9 @@
         server = await answering(OK)
         made = gateway(server.address)
         client, faults = await come_but_not_read(monkeypatch, made, asked)
-        faults.failing([Fault(Call.RECV, code)])
+        faults.replace_faults([Fault(Call.RECV, code)])
         closes(made)
-        assert faults.raised[Call.RECV] == 1
+        assert faults.fault_counts[Call.RECV] == 1
         assert (await client.answer())[0] == 200
 
     run(scenario())
@@ -734,7 +734,7 @@
     async def scenario() -> None:
         made = gateway()
         client, faults = await come_but_not_read(monkeypatch, made, asked=True)
-        faults.failing([Fault(Call.RECV, code, times=FOR_GOOD)])
+        faults.replace_faults([Fault(Call.RECV, code, times=FOR_GOOD)])
         made.frontend.clients.make_room()
         await until(lambda: not made.frontend.clients.open)
         assert client.writer is not None
@@ -782,7 +782,7 @@
 ) -> None:
     # The connection was given up, and with it each call that was out counted as one that may have been added.
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(Call.SEND, code, first=first, times=2), most_sent=7)
+        faults = injected(monkeypatch, Fault(Call.SEND, code, first=first, times=2), max_sent=7)
         peer = await scripted(echoing)
         made, told = counter(peer.address)
         for number in range(20):
@@ -792,7 +792,7 @@
             (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
         assert peer.connections == 1
-        assert faults.raised[Call.SEND] == 2
+        assert faults.fault_counts[Call.SEND] == 2
         assert peer.requests == [b"bump %d %d.5000000 60000\r\n" % (n, n) for n in range(20)]
 
     run(scenario())
@@ -811,7 +811,7 @@
         assert {answer.status for answer in told} == {
             interface.Status.DIAL_FAILED
         }  # not written: nothing added
-        assert faults.counts[Call.SEND] == 1
+        assert faults.call_counts[Call.SEND] == 1
 
     run(scenario())
 
@@ -822,7 +822,7 @@
     code: int, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        injected(monkeypatch, Fault(Call.RECV, code, first=first), most_received=3)
+        injected(monkeypatch, Fault(Call.RECV, code, first=first), max_received=3)
         peer = await scripted(echoing)
         made, told = counter(peer.address)
         for number in range(20):
@@ -844,7 +844,7 @@
 ) -> None:
     async def scenario() -> None:
         line = len(counted_line())
-        injected(monkeypatch, Fault(Call.SEND, code, first=2), most_sent=line + line // 2)
+        injected(monkeypatch, Fault(Call.SEND, code, first=2), max_sent=line + line // 2)
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             await reader.read()
@@ -891,7 +891,7 @@
         await until(lambda: len(told) == 2)
         assert {answer.status for answer in told} == {interface.Status.DIAL_FAILED}
         made._wait_s = 20.0
-        faults.failing([])
+        faults.replace_faults([])
         made.call(counted(3))
         await until(lambda: len(told) == 3)
         assert told[2].status is interface.Status.DELIVERED
@@ -906,7 +906,7 @@
     async def scenario() -> None:
         half = len(counted_line()) // 2
         fault = Fault(Call.SEND, errno.EAGAIN, first=2, times=FOR_GOOD)
-        faults = injected(monkeypatch, fault, most_sent=half)
+        faults = injected(monkeypatch, fault, max_sent=half)
         peer = await scripted(echoing)
         made, told = counter(peer.address, 80 * MS)
         for number in (1, 2):
@@ -917,7 +917,7 @@
             2: interface.Status.DIAL_FAILED,
         }
         made._wait_s = 20.0
-        faults.failing([])
+        faults.replace_faults([])
         made.call(counted(3))
         await until(lambda: len(told) == 3)
         assert (told[2].name, told[2].status) == (3, interface.Status.DELIVERED)
@@ -1070,12 +1070,12 @@
             settings=SETTINGS | {"specifics": specifics},
         )
         faults = listening(monkeypatch, made)
-        faults.most_sent, faults.most_received = 40, 40  # some calls to each message
+        faults.max_sent, faults.max_received = 40, 40  # some calls to each message
         monkeypatch.setattr(dial, "socket", faults)
         for first in range(1, 9):
             made.backends.close()  # connections are made anew
             made.backends._idle.clear()
-            faults.failing([Fault(call, code, first=first, times=2)])
+            faults.replace_faults([Fault(call, code, first=first, times=2)])
             clients = [await Client.to(made) for _ in range(3)]
             kinds = [ask("post", X_Contract="small"), ask("post"), ask()]
             for client, asked in zip(clients, kinds, strict=True):
@@ -1090,8 +1090,8 @@
         posts = [message for message in one.requests + two.requests if message.startswith(b"POST")]
         ids = [re.findall(rb"X-Correlation-Id: (\w+)", message)[0] for message in posts]
         assert len(ids) == len(set(ids))
-        faults.failing([])
-        assert faults.raised[call]
+        faults.replace_faults([])
+        assert faults.fault_counts[call]
         made.runtime._policy.servers.backends.clear()  # what was learned of the servers, rightly or not
         made.runtime.update_servers(change_from(listing(entry("s9", one.address))))
         assert (await (await Client.to(made)).send(ask("post")))[0] == 200
