--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -1,4 +1,10 @@
-"""Starts the gateway, rereads its configuration on SIGHUP, ends it on SIGTERM; says plainly what is wrong."""
+"""The command: runs one gateway until SIGTERM or SIGINT and rereads its configuration on SIGHUP.
+
+``Gateway`` puts the parts together: connections to servers, the policy with its runtime, the frontend for
+clients, and the watch of discovery.  It serves from the server list in its configuration if discovery does
+not answer soon.  Exit codes: 0 after a shutdown by signal, 1 if the gateway cannot run (``cannot run:``), 2
+if its configuration is missing or wrong (``configuration:``).
+"""
 
 from __future__ import annotations
 
@@ -20,9 +26,11 @@
 from gingerworks.gateway.frontend import Frontend
 from gingerworks.gateway.runtime import Runtime
 
-OWN_SOCKETS = 48  # standard streams, the loop's, the listener, discovery, the counter, and some to spare
-CLIENT_SHARE = 0.55  # of the rest; servers get what is left
-FIRST_LIST_S = 1.0  # for discovery's first answer: a connection and as long again; the only wait of a start
+# For the standard streams, the event loop, the listener, discovery and the counter, and some to spare.
+RESERVED_SOCKETS = 48
+CLIENT_SOCKET_SHARE = 0.55  # clients' share of the other sockets; servers get the rest
+# The only wait of a start, for discovery's first answer: its time-out to connect, and as long again.
+FIRST_LIST_TIMEOUT_S = 1.0
 
 log = logging.getLogger("gateway")
 
@@ -33,67 +41,69 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self._loop = loop
         self._config = config
-        clients = int((config.sockets - OWN_SOCKETS) * CLIENT_SHARE)
-        servers = config.sockets - OWN_SOCKETS - clients
+        clients = int((config.sockets - RESERVED_SOCKETS) * CLIENT_SOCKET_SHARE)
+        servers = config.sockets - RESERVED_SOCKETS - clients
         self.backends = Backends(loop, config.settings, config.idle_ns, servers)
         self.runtime = Runtime(loop, config, self.backends)
         self.frontend = Frontend(loop, self.runtime, config.settings, clients)
-        self._watch: asyncio.Task[None] | None = None
-        self._opening: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
+        self._accept_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to follow discovery, then to serve; neither it nor the counter need be up."""
+        """Start to watch discovery, then to serve; neither discovery nor the counter has to be reachable."""
         index = 0
         try:
             known = change_from(self._config.known)
             self.runtime.update_servers(Change(known.index, True, known.endpoints), cached=True)
             index = known.index
         except ValueError as fault:
-            log.warning("known: %s; the list comes from discovery alone", fault)
-        watch = self._follow(self._config.discovery, index)
+            log.warning("known: %s; using the server list from discovery only", fault)
+        watch = self._start_watch(self._config.discovery, index)
         self.frontend.listen(self._config.listen)
-        self._opening = self._loop.create_task(self._open(watch))
+        self._accept_task = self._loop.create_task(self._accept_after_first_list(watch))
         log.info("%s: listening on %s:%d", self._config.name, *self.frontend.address)
 
-    async def _open(self, watch: Watch) -> None:
-        """Take in clients once discovery has answered, has failed, or has had its time.
+    async def _accept_after_first_list(self, watch: Watch) -> None:
+        """Accept clients once discovery has answered or failed, or its time is over.
 
-        Guards against sending to whom only the old list calls ready: what discovery has to tell counts as
-        told from the start on, and a start on a small part of a core lasts longer than a drain's grace.
+        A server that is ready in the old list may be draining by now.  The gateway is expected to know what
+        discovery knows from the start on, and a start on a small share of a core takes longer than the grace
+        period of a draining server.
         """
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(watch.first_attempt_done.wait(), FIRST_LIST_S)
+            await asyncio.wait_for(watch.first_attempt_done.wait(), FIRST_LIST_TIMEOUT_S)
         self.frontend.start_accepting()
 
-    def _follow(self, discovery: Address, index: int) -> Watch:
-        if self._watch is not None:
-            self._watch.cancel()  # closes its connection as it ends
+    def _start_watch(self, discovery: Address, index: int) -> Watch:
+        if self._watch_task is not None:
+            self._watch_task.cancel()  # closes its connection as it ends
         gateways = self._config.settings.gateways
         watch = Watch(discovery, index, self._config.seed, self.runtime.update_servers, gateways)
-        self._watch = self._loop.create_task(watch.run())
+        self._watch_task = self._loop.create_task(watch.run())
         return watch
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Follow the discovery and the counter that the file names now; all else waits for a restart.
+        """Switch to the discovery and the counter that the file names now; other changes need a restart.
 
-        Guards against a file that is unreadable or wrong: what was in force stays so.
+        If the file is unreadable or wrong, the former configuration stays in force.
         """
         try:
-            config = load(environment, again=True)
+            config = load(environment, is_reload=True)
         except (ConfigError, interface.SettingsError) as fault:
-            log.error("configuration: %s; the former one stays", fault)
+            log.error("configuration: %s; keeping the former one", fault)
             return
-        before, self._config = self._config, config
-        log.info("reread: discovery %s:%d, counter %s", *config.discovery, config.counter)
-        if config.discovery != before.discovery:
-            self._follow(config.discovery, 0)  # its versions are its own: the whole list is asked for
-        if config.counter != before.counter:
+        former, self._config = self._config, config
+        log.info("configuration reread: discovery %s:%d, counter %s", *config.discovery, config.counter)
+        if config.discovery != former.discovery:
+            # The versions of another discovery differ: request the whole list.
+            self._start_watch(config.discovery, 0)
+        if config.counter != former.counter:
             self.runtime.use_counter(config.counter)
 
-    async def ended(self) -> None:
-        """Wait for the graceful end that ``frontend.begin_shutdown`` begins, then let go of all."""
+    async def wait_and_close(self) -> None:
+        """Wait for the end of the shutdown that ``frontend.begin_shutdown`` starts, then close everything."""
         await self.frontend.finished.wait()
-        for task in (self._watch, self._opening):
+        for task in (self._watch_task, self._accept_task):
             if task is not None:
                 task.cancel()
         self.backends.close()
@@ -101,27 +111,28 @@
 
 
 async def serve(config: Config) -> None:
-    """Serve until told to end."""
+    """Serve until a signal has shut the gateway down."""
     loop = asyncio.get_running_loop()
     gateway = Gateway(loop, config)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, gateway.frontend.begin_shutdown)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, gateway.frontend.begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, gateway.reload, os.environ)
     gateway.start()
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})  # one that came since ``main`` is handled now
-    loop.call_soon(_freeze)  # once discovery has been asked: its answer is waited for anyway
-    await gateway.ended()
+    # A SIGHUP that came since the start of ``main`` is handled now.
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
+    loop.call_soon(_freeze_startup_objects)  # while discovery answers, which is waited for anyway
+    await gateway.wait_and_close()
 
 
-def _freeze() -> None:
-    """What the start has made stays: the collector need not look at it again."""
+def _freeze_startup_objects() -> None:
+    """Exempt the objects made so far from garbage collection: they stay as long as the process."""
     gc.collect()
     gc.freeze()
 
 
 def main() -> int:
     """Run one gateway."""
-    # Guards against losing a SIGHUP that comes as the file is read: it stays pending until it has a handler.
+    # A SIGHUP that comes while the file is read must not be lost: it stays pending until it has a handler.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
--- a/gingerworks/gateway/config.py
+++ b/gingerworks/gateway/config.py
@@ -1,4 +1,8 @@
-"""The gateway's configuration: NODE_CONFIG and its companions, checked at the start and when it is reread."""
+"""The gateway's configuration: a JSON file, some of whose values environment variables override.
+
+``NODE_CONFIG`` names the file.  It is checked as a whole, at the start and when it is reread; a value that is
+missing or wrong raises ``ConfigError`` or ``interface.SettingsError``, with a text that names it.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +15,16 @@
 
 Address = tuple[str, int]
 
-DEFAULT_SOCKETS = 1024
+DEFAULT_SOCKETS = 1024  # for all connections of the process, if the file sets no limit
 
 
 class ConfigError(ValueError):
-    """The configuration is missing or wrong; the text says where."""
+    """The configuration is missing or wrong; the text names the value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that one gateway process is told."""
+    """The configuration of one gateway process."""
 
     name: str
     listen: Address
@@ -34,17 +38,17 @@
 
 
 def address_from(text: object, what: str) -> Address:
-    """Split ``host:port``."""
+    """Split ``host:port``; ``what`` names the value in the error message."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ConfigError(f"{what}: '{str(text)[: wire.MAX_SHOWN_CHARS]}' is not host:port")
     return host.strip("[]"), int(port)
 
 
-def load(environment: Mapping[str, str], again: bool = False) -> Config:
-    """Read the file that NODE_CONFIG names; the other variables go before what it says.
+def load(environment: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Read the file that NODE_CONFIG names; the other variables override what it says.
 
-    When it is read again the file tells where discovery is now: the variable is as old as the process.
+    On a reload the file's address of discovery goes before the variable, which is as old as the process.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -56,16 +60,16 @@
         raise ConfigError(f"NODE_CONFIG: {fault}") from None
     if not isinstance(raw, dict):
         raise ConfigError("NODE_CONFIG: not an object")
-    told = {
+    overrides = {
         "name": environment.get("NODE_NAME"),
         "listen": environment.get("NODE_LISTEN"),
-        "discovery": None if again and raw.get("discovery") else environment.get("NODE_DISCOVERY"),
+        "discovery": None if is_reload and raw.get("discovery") else environment.get("NODE_DISCOVERY"),
     }
-    return config_from(raw | {key: value for key, value in told.items() if value})
+    return config_from(raw | {key: value for key, value in overrides.items() if value})
 
 
 def config_from(raw: dict[str, Any]) -> Config:
-    """Check a configuration that has been read."""
+    """Check the content of the file and convert it."""
     if not isinstance(raw.get("settings"), dict):
         raise ConfigError("settings is missing")
     fields = wire.Fields(f"{path}={value}" for path, value in flatten(raw["settings"]))
@@ -104,7 +108,7 @@
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """The paths and values of nested JSON, as the simulator's start message writes them."""
+    """The paths and values of nested JSON, in the form of the simulator's start message."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from flatten(inner, f"{path}.{key}" if path else str(key))
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -386,7 +386,7 @@
         assert server.connections == 0
         assert not gw.backends._open
         if shutting_down:
-            await gw.ended()
+            await gw.wait_and_close()
 
     run(scenario())
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -583,7 +583,7 @@
         assert (await idle.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
         held.writer.write(ask())
         await until(lambda: len(slow.requests) == 1)
-        end = asyncio.ensure_future(gw.ended())
+        end = asyncio.ensure_future(gw.wait_and_close())
         gw.frontend.begin_shutdown()
         assert await idle.reader.read() == b""
         await asyncio.sleep(0.3)  # new connections are still accepted
@@ -676,7 +676,7 @@
         client.writer.write(ask()[:-2])
         await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
         gw.frontend.begin_shutdown()
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -82,7 +82,7 @@
         if content is not None:
             file.write_text(content)
         made.reload({"NODE_CONFIG": str(file)})
-        assert "the former one stays" in caplog.text
+        assert "keeping the former one" in caplog.text
         assert (await (await Client.to(made)).send(ask()))[0] == 200
         assert len(old.requests) == 1
 
@@ -149,7 +149,7 @@
         if when == "during":
             made.reload({"NODE_CONFIG": str(file)})
         assert (await held.send(b"\r\n"))[0] == 200
-        await made.ended()
+        await made.wait_and_close()
         if when == "after":
             made.reload({"NODE_CONFIG": str(file)})
         assert await client.reader.read() == b""
@@ -201,7 +201,7 @@
         assert any("reread: " in text for text in process.stderr)
     file.write_text("{")
     process.send_signal(signal.SIGHUP)
-    assert any("the former one stays" in text for text in process.stderr)
+    assert any("keeping the former one" in text for text in process.stderr)
     process.send_signal(signal.SIGHUP)
     process.terminate()
     assert process.wait(timeout=30) == 0
@@ -236,7 +236,7 @@
 
 
 def test_a_discovery_that_stays_silent_keeps_no_gateway_from_serving(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("gingerworks.gateway.__main__.FIRST_LIST_S", 0.05)
+    monkeypatch.setattr("gingerworks.gateway.__main__.FIRST_LIST_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -26,7 +26,7 @@
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 READY_S = 10.0  # for a restarted gateway to answer ...
 CORE = 1 / 20  # ... on so much of a core
-PROCESSOR_S = (READY_S - command.FIRST_LIST_S) * CORE  # what is left beside the one wait of a start
+PROCESSOR_S = (READY_S - command.FIRST_LIST_TIMEOUT_S) * CORE  # what is left beside the one wait of a start
 
 
 def place(address: Address) -> str:
@@ -88,7 +88,7 @@
 ) -> None:
     # Of all times only the one for the first answer can ring within the test, where that answer never comes.
     answers = how in ("nobody", "refusing")
-    monkeypatch.setattr(command, "FIRST_LIST_S", 1e6 if answers else 0.02)
+    monkeypatch.setattr(command, "FIRST_LIST_TIMEOUT_S", 1e6 if answers else 0.02)
     monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 1e6)
     monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 1e6)
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 1e6)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -64,7 +64,7 @@
         shut_down_now(gw)
         heads = [(await read_to_end(sock)).split(b"\r\n")[0] for sock in socks]
         assert [head.split()[1] for head in heads] == [b"200"] * 100
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -82,7 +82,7 @@
         release.set()
         for sock in [*held, waits]:
             assert (await read_to_end(sock)).startswith(b"HTTP/1.1 200")
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -94,7 +94,7 @@
         sock = connect_and_send(gw, ask())
         gw.frontend.begin_shutdown()
         assert (await read_to_end(sock)).startswith(b"HTTP/1.1 200")
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -112,7 +112,7 @@
         assert gw.frontend._shutdown.schedule is schedule
         release.set()
         assert (await client.answer())[0] == 200
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -132,7 +132,7 @@
         (client,) = gw.frontend.clients.open
         assert client.transport is None
         assert await read_to_end(sock) == b""
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -151,7 +151,7 @@
         assert [status for status, _ in heads] == [200] * 3
         assert [b"Connection: close" in head for _, head in heads] == [False, False, True]
         assert await client.reader.read() == b""
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -169,7 +169,7 @@
         status, head, _ = await client.send(second[50:])
         assert status == 200
         assert b"Connection: close" in head
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -186,7 +186,7 @@
         gw.frontend._reject_incomplete()  # before the event loop runs again
         assert not gw.frontend.finished.is_set()
         assert (await client.answer())[0] == 200
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -216,7 +216,7 @@
         status, head, _ = await client.answer()
         assert status == 200
         assert b"Connection: close" in head
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -251,7 +251,7 @@
         for _ in range(3):
             assert (await read_message(reader)).startswith(b"HTTP/1.1 200")
         writer.close()
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
 
@@ -289,6 +289,6 @@
         began = asyncio.get_running_loop().time()
         assert (await client.answer())[0] == 502
         assert asyncio.get_running_loop().time() - began < 5.0  # the server never answers
-        await gw.ended()
+        await gw.wait_and_close()
 
     run(scenario())
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -134,7 +134,7 @@
 
     async def ended(self) -> None:
         """Wait for the end of the shutdown, which has to come before SIGKILL."""
-        await self.gw.ended()
+        await self.gw.wait_and_close()
         assert now_s() < self.kill_s
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -18,7 +18,7 @@
 
 from gingerworks import interface
 from gingerworks.gateway import discovery
-from gingerworks.gateway.__main__ import OWN_SOCKETS
+from gingerworks.gateway.__main__ import RESERVED_SOCKETS
 from gingerworks.gateway.backend import Answer, Attempt
 from tests.loopback import (
     OK,
@@ -305,7 +305,7 @@
             await process.listening()
             assert (await (await Client.at(process.address)).send(HEALTH))[0] == 200
             await until(lambda: agent.requests == [b"told"])
-            assert process.descriptors() < OWN_SOCKETS
+            assert process.descriptors() < RESERVED_SOCKETS
             assert not any(peer.connections for peer in peers)
             silent = [await Client.at(process.address) for _ in range(sockets)]
             await until(lambda: process.descriptors() > sockets // 3)  # the table of clients is full
@@ -320,7 +320,7 @@
             assert len(silent) == sockets
             assert peak_kib(process) < MEMORY_KIB
             assert "Too many open files" not in process.log()
-            assert "entry left out" not in process.log()
+            assert "skipping a malformed entry" not in process.log()
 
     with many_descriptors():
         run(scenario())
@@ -333,7 +333,7 @@
         peers = [await answering(OK) for _ in range(LISTENERS)]
         servers = entries(peers)
         made = gateway(known=listing(*servers), limits={"sockets": sockets})
-        assert made.frontend.clients.budget + made.backends._max_connections + OWN_SOCKETS <= sockets
+        assert made.frontend.clients.budget + made.backends._max_connections + RESERVED_SOCKETS <= sockets
         backends, budget = made.backends, made.backends._max_connections
         ended: list[interface.Status] = []
 
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -606,7 +606,7 @@
         made = gateway()
         listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ENFILE, times=FOR_GOOD))
         made.frontend.begin_shutdown()
-        await made.ended()
+        await made.wait_and_close()
         assert clock.now() < made.frontend._shutdown.schedule.answers_due_ns
 
     run(scenario())
