--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -15,7 +15,7 @@
 * The lock count lets one gateway at a time set the time: of those that find neither a beacon nor a renewed
   presence count, the first one to add to it sends the first beacon.
 
-A gateway has one such call to the counter out at a time; ``ClockSync.handle_answer`` schedules the next one.
+A gateway has at most one such call in flight; ``ClockSync.handle_answer`` schedules the next one.
 Times are nanoseconds of the gateway's own clock, which only advances, unless they are said to be agreed ones.
 ``docs/design.md`` describes the protocol.
 """
@@ -36,9 +36,9 @@
 LAP_NS = EPOCHS_PER_LAP * COUNT_TTL_NS
 
 BEACON_LIFETIME_NS = 500 * MS
-TIME_STEP_NS = 100 * MS  # resolution of a beacon's time: the counter's totals are exact to seven digits
-BEACON_AMOUNT = 200_000  # added by each beacon, on top of its time within the lap, which is in steps
-MAX_BEACONS = BEACON_AMOUNT // (LAP_NS // TIME_STEP_NS)  # more in one total cannot be told apart
+BEACON_RESOLUTION_NS = 100 * MS  # of a beacon's time: the counter's totals are exact to seven digits
+BEACON_AMOUNT = 200_000  # added by each beacon, on top of its time within the lap in BEACON_RESOLUTION_NS
+MAX_BEACONS = BEACON_AMOUNT // (LAP_NS // BEACON_RESOLUTION_NS)  # more in one total cannot be told apart
 MAX_BEACON_DELAY_NS = 150 * MS  # between the writing of a beacon and its turn at the counter
 MAX_SLEW_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
 READ_LIFETIME_NS = MS  # of a count that a read creates: it must not shorten the life of what is added later
@@ -135,10 +135,10 @@
         self._renewal_repeats = 0  # of the renewal that is under way
         self._next_purpose = Purpose.READ
         self._started = False
-        self.due_at_ns: int | None = None  # when to make the next call; none while one is out
+        self.due_at_ns: int | None = None  # when to make the next call; none while one is in flight
         self._first_attempt_over = False  # whether the first attempt at agreement has ended
         self.start_deadline_ns = 0  # when the first attempt at agreement ends at the latest
-        self.clock_steps = 0  # times taken over from others; readings of counts from before a step are void
+        self.clock_steps = 0  # how often the others' time was taken over; earlier readings are void
 
     def start(self, now: int) -> bool:
         """Begin, unless that was done or there is nobody to agree with; return whether it began."""
@@ -175,7 +175,7 @@
         return not self._first_attempt_over and now < self.start_deadline_ns
 
     def take_due_call(self, now: int) -> interface.Count | None:
-        """Return the call that is due, if any, and note that it is out."""
+        """Return the call that is due, if any, and note that it is in flight."""
         if self._pending is not None or self.due_at_ns is None or now < self.due_at_ns:
             return None
         purpose = self._next_purpose
@@ -200,7 +200,7 @@
         return self._pending is not None and self._pending.name == name
 
     def handle_answer(self, answer: interface.Counted, now: int) -> None:
-        """Process the answer to the call that is out, and schedule the next one."""
+        """Process the answer to the call in flight, and schedule the next one."""
         call, self._pending = self._pending, None
         if call is None:
             return
@@ -237,7 +237,7 @@
             case Purpose.READ:
                 return BEACON_NAME, 0.0, READ_LIFETIME_NS
             case Purpose.SET_TIME | Purpose.BEACON:
-                stated = self.agreed_time(now) % LAP_NS // TIME_STEP_NS
+                stated = self.agreed_time(now) % LAP_NS // BEACON_RESOLUTION_NS
                 return BEACON_NAME, float(BEACON_AMOUNT + stated), BEACON_LIFETIME_NS
             case Purpose.LOCK:
                 return LOCK_NAME, 1.0, LOCK_LIFETIME_NS
@@ -285,7 +285,7 @@
             self._handle_failure(call, interface.Status.ERROR, now)  # not a sum of beacons
         else:
             self._no_beacon_since_ns = None
-            stated_ns = (others % BEACON_AMOUNT) * TIME_STEP_NS // beacons
+            stated_ns = (others % BEACON_AMOUNT) * BEACON_RESOLUTION_NS // beacons
             self._compare_times(stated_ns, beacons == 1, call.sent_ns, now)
             self._schedule_after_beacon(call.purpose, now)
 
@@ -355,7 +355,9 @@
         gateway's by ``least_ahead`` to ``most_ahead``.
         """
         least_ahead = _lap_difference(stated_ns, self.agreed_time(now))
-        most_ahead = least_ahead + TIME_STEP_NS + BEACON_LIFETIME_NS + MAX_BEACON_DELAY_NS + (now - sent_ns)
+        most_ahead = (
+            least_ahead + BEACON_RESOLUTION_NS + BEACON_LIFETIME_NS + MAX_BEACON_DELAY_NS + (now - sent_ns)
+        )
         if least_ahead <= MAX_SLEW_NS and most_ahead >= -MAX_SLEW_NS:
             self._offset_ns += max(0, least_ahead) + min(0, most_ahead)
             self._confirm_agreement(now)
