--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -197,7 +197,7 @@
         return self.ceiling_allowance is None or self.ceiling_allowance.covers(units)
 
     def covers_without_reading(self, units: float) -> bool:
-        """Whether to admit a request after a call without an answer.
+        """Whether to admit a request while the counter gives no answer.
 
         For a request larger than the even share the allowance has to hold no more than that share, unless the
         last reading found the store exhausted.
@@ -207,7 +207,7 @@
         )
 
     def share_covers(self, units: float) -> bool:
-        """Whether the share covers a request; half of it, or the even share if less, may still be missing."""
+        """Whether the share covers a request, of which half, or the even share if less, may be missing."""
         return self.share_allowance.covers(units - min(self.even_burst, units * SHARE_ADVANCE))
 
     def count_name(self, now: int) -> tuple[int, int]:
@@ -252,14 +252,14 @@
         return self.allowance.cap - deficit if now - self.overuse_since_ns >= self.repair_settle_ns else 0.0
 
     def apply_reading(
-        self, call: CounterCall, level: float, now: int
+        self, call: CounterCall, total: float, now: int
     ) -> list[tuple[InFlightRequest[Customer], bool]]:
         """Learn the store's deficit from a total; returns whether it covers each of the requests held."""
         refilled = self.plan.rate * (now - call.count_began_ns) / SECOND
-        level -= self.undo_duplicate_repair(call, level - call.amount - refilled)
+        total -= self.undo_duplicate_repair(call, total - call.amount - refilled)
         reported = max(0.0, call.reported)  # below 0 it corrects units that were added but never used
         # The deficit without the use that this call reported and booked.
-        deficit_before = level - (call.amount - call.reported - call.repair + reported) - refilled
+        deficit_before = total - (call.amount - call.reported - call.repair + reported) - refilled
         unreported, repair = max(0.0, self.unreported), self.needed_repair(deficit_before, now)
         self.repair_due, self.deficit_before_repair = repair, deficit_before
         repaired = self.allowance.cap if self.overuse_since_ns is not None else deficit_before + repair
