--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -27,7 +27,7 @@
 RETRY_SHARE = 0.1  # further attempts per admitted request in the long run: bounds retry storms
 RETRY_BURST = 10.0  # further attempts that may be saved up, so that one failure among few is retried
 OVERDUE_AIM_FRACTION = 0.35  # an answer is overdue after this part of the aim at the earliest
-DEFAULT_WAIT_NS = 60_000_000  # until a retry, advised with refusals of unknown wait: half an answer time
+DEFAULT_WAIT_NS = 60_000_000  # advised with a refusal if the wait is not known: about half an answer time
 
 
 class Policy:
@@ -44,7 +44,7 @@
         self.shedder = LoadShedder(settings, now)
         self.retry_budget = GapCounter(RETRY_BURST, RETRY_BURST, 0.0)
         self.in_flight: dict[int, InFlightRequest[Customer]] = {}
-        self.held_calls: dict[str, Customer] = {}  # until the first agreement on the time
+        self.deferred_calls: dict[str, Customer] = {}  # until the first attempt at agreement on the time ends
         self.scheduled: list[tuple[int, int, Callable[[], None]]] = []  # a heap, by time and sequence
         self.reported_states: set[str] = set()  # logged as begun, not yet as ended
         self.scheduled_count = 0
@@ -215,14 +215,14 @@
         if self.quotas.clock.awaits(answer.name):
             self.quotas.handle_clock_answer(answer, self.now)
             self._schedule_clock_sync()
-            self._release_held_calls()
+            self._release_deferred_calls()
             return
         call = self.quotas.calls.get(answer.name)
         result = self.quotas.handle_answer(answer, self.now)
         if call is None or result is None:
             return
-        customer, verdicts = result
-        for inflight, covered in verdicts:
+        customer, decisions = result
+        for inflight, covered in decisions:
             if not inflight.closed:
                 self._decide(inflight, covered)
         # Units booked for refused requests are taken back at once only while the counter keeps up: these
@@ -255,10 +255,10 @@
             self.schedule(due_ns, lambda: self._call_counter(customer))
 
     def _call_counter(self, customer: Customer) -> None:
-        """Call the counter for this customer, unless the clock synchronisation holds or suspends calls."""
+        """Call the counter for this customer, unless the clock synchronisation defers or suspends calls."""
         clock = self.quotas.clock
         if clock.defers_customer_calls(self.now):
-            self.held_calls[customer.key] = customer
+            self.deferred_calls[customer.key] = customer
             return
         for action in self.quotas.start_call(customer, self.now):
             if clock.suspends_customer_calls(self.now):
@@ -276,13 +276,13 @@
         clock = self.quotas.clock
         if plan.rate > 0 and self.settings.has_counter and clock.start(self.now):
             self._schedule_clock_sync()
-            self.schedule(clock.start_deadline_ns, self._release_held_calls)
+            self.schedule(clock.start_deadline_ns, self._release_deferred_calls)
 
-    def _release_held_calls(self) -> None:
-        """Make the calls held during the first attempt at agreement on the time, once it has ended."""
-        if self.held_calls and not self.quotas.clock.defers_customer_calls(self.now):
-            held, self.held_calls = self.held_calls, {}
-            for customer in held.values():
+    def _release_deferred_calls(self) -> None:
+        """Make the calls deferred during the first attempt at agreement on the time, once it has ended."""
+        if self.deferred_calls and not self.quotas.clock.defers_customer_calls(self.now):
+            deferred, self.deferred_calls = self.deferred_calls, {}
+            for customer in deferred.values():
                 self._call_counter(customer)
 
     def _schedule_clock_sync(self) -> None:
@@ -397,7 +397,7 @@
 
     def retry_or_end(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
         """Nothing is in flight any more: retry the request or end it."""
-        # Cancelling charged the budget already; failed connections and unsent attempts cost no server.
+        # Cancelling charged the budget already; unsent attempts and failed connections cost servers no work.
         free = outcome.status in (
             interface.Status.CANCELLED,
             interface.Status.DIAL_FAILED,
@@ -422,7 +422,7 @@
             self.close(inflight)
 
     def decline(self, inflight: InFlightRequest[Customer], wait_ns: int) -> None:
-        """Refuse a request; ``wait_ns`` is when the client may try again, 0 if that is not known."""
+        """Refuse a request; the client may try again after ``wait_ns``, which is 0 if that is not known."""
         max_ns = self.settings.limits.max_retry_after_ns if self.settings.limits.may_send_retry_after else 0
         self.actions.append(interface.Decline(inflight.request.id, min(wait_ns or DEFAULT_WAIT_NS, max_ns)))
         self.close(inflight)
