--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -23,7 +23,7 @@
 MAX_CUSTOMERS = 20_000  # known at a time: far more than send requests within a few sweeps
 # Of the allowance, or of the even share if that is more: more unreported use than this is reported at once,
 # as the other gateways admit requests from the same store.
-URGENT_REPORT_SHARE = 0.25
+URGENT_REPORT_FRACTION = 0.25
 MAX_UNREPORTED = 0.5  # of the burst: more use that was admitted by estimates is reported by a call of its own
 COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS  # without an answer: then the counter is taken to be out of service
 
@@ -123,7 +123,9 @@
 
     def is_report_urgent(self, customer: Customer) -> bool:
         """Whether there is so much unreported use that the other gateways should know of it now."""
-        return customer.unreported > URGENT_REPORT_SHARE * max(customer.even_burst, customer.allowance.level)
+        return customer.unreported > URGENT_REPORT_FRACTION * max(
+            customer.even_burst, customer.allowance.level
+        )
 
     def record_unreported(self, customer: Customer, units: float) -> bool:
         """Record use that no call has reported; returns whether to plan a call that reports it."""
