--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -28,7 +28,7 @@
 AMPLE_HEADROOM = 0.6  # of the burst
 OVERRUN_BUDGET_FRACTION = 0.02  # of all worth sent on: what speculative overruns may be expected to cost
 OVERRUN_BUDGET_REQUESTS = 5.0  # in mean worths of requests: how much of that budget can be saved up
-MIN_MEAN_GAIN = 0.02  # of running means: about the last fifty requests count
+MIN_MEAN_GAIN = 0.02  # weight of one value in a running mean, which thus covers about the last fifty
 
 
 class Headroom(Enum):
