--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -258,7 +258,7 @@
         backend.unreachable_until_ns = now + int(pause_ns * (0.75 + 0.5 * self.rng.random()))
 
     def _eject(self, backend: Backend, request_class: interface.RequestClass, now: int) -> None:
-        """Outlier ejection: leave out a failing server, for longer after each consecutive failure.
+        """Outlier ejection: leave out a failing server, longer for each failure in a row, up to a limit.
 
         Time-outs, errors and refusals count alike.  Errors that come fast would otherwise make a server look
         quick.
