--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -100,8 +100,8 @@
     burst: float
     max_out: int
     price: float
-    excess_worth: float  # worth of a request served beyond the quota, as a multiple of that within it
-    overrun_cost: float  # cost of a request served beyond the quota, as a multiple of the same
+    excess_worth: float  # worth of a request served beyond the quota, as a multiple of its worth within it
+    overrun_cost: float  # cost of a request served beyond the quota, as a multiple of its worth within it
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float  # units beyond the ceiling that are tolerated
@@ -213,7 +213,7 @@
     phase: Phase
     zone: str = ""
     cell: int = 0  # group of servers within the zone
-    started_ns: int = 0  # 0 where it is not known
+    started_ns: int = 0  # 0 if it is not stated or long ago: the server counts as warm
     size: float = 1.0  # relative capacity; not used by any decision
 
 
@@ -240,7 +240,7 @@
     entries: int  # how many gateways this customer's requests are spread over
     ttl_ns: int
     units: float  # that it takes from the quota
-    is_retry: bool = False  # of the client
+    is_retry: bool = False  # the client retries an earlier request
 
 
 @dataclass(frozen=True, slots=True)
