--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -63,9 +63,8 @@
     "plans.burst": "tariffs.most-at-once",
     "plans.ceiling_burst": "tariffs.ceiling-burst",
 }
-MAX_SHOWN_CHARS = (
-    40  # of a wrong value in an error message: enough to find it, and the message stays one plain line
-)
+# Of a wrong value in an error message: enough to find it, and the message stays one plain line.
+MAX_SHOWN_CHARS = 40
 
 
 class WireError(ValueError):
