--- a/gingerworks/gateway/clock.py
+++ b/gingerworks/gateway/clock.py
@@ -1,7 +1,8 @@
-"""The gateway's clock: it advances with the monotonic clock and was set by Unix time once, at the start.
+"""The gateway's clock: Unix time at the start of the process, advanced by the monotonic clock.
 
-The module derives the names of shared counts from its time, so all gateways must read the same one, and the
-start times of servers are Unix times; steps of the system's clock must not reach the module all the same.
+The policy derives the names of shared counts from it, and servers state their start as Unix time, so all
+gateways must use the same time.  Steps of the system's clock while the process runs must not reach the
+policy, so the clock is set only once.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 
 
 def now() -> int:
-    """Nanoseconds since the Unix epoch, as counted since the start; never runs backwards."""
+    """Nanoseconds since the Unix epoch; never runs backwards."""
     return time.monotonic_ns() + _OFFSET
 
 
 def from_unix_ms(milliseconds: int) -> int:
-    """A Unix time in the unit of ``now``; 0 (long ago) stays 0."""
+    """Convert a Unix time to nanoseconds, as in ``now``; 0 (long ago) stays 0."""
     return milliseconds * NS_PER_MS
--- a/gingerworks/gateway/clock_check.py
+++ b/gingerworks/gateway/clock_check.py
@@ -1,7 +1,9 @@
-"""Whether this machine's wall clock agrees with the one that the fleet shares, as the starts of servers tell.
+"""Checks this machine's wall clock against the start times of servers that discovery states.
 
-Gateways name shared counts by the time.  One whose clock was stepped before it started counts apart from its
-peers, and grants their quotas a second time.
+The names of shared counts contain the time.  A gateway whose wall clock was stepped before it started would
+use other counts than its peers and grant customers their quotas a second time.  Each server that is seen to
+become new states when it started; if that is far from the moment at which the gateway learned of it, in
+two lists in a row, the clock is taken to be wrong, until a list shows a plausible time again.
 """
 
 from __future__ import annotations
@@ -11,44 +13,45 @@
 
 from gingerworks.gateway import clock
 
-# A start that is told later than this shows a wrong clock: servers that take a minute to be listed, or lists
-# that catch up after an outage of discovery, stay below it.
-LATEST_NS = 900 * clock.NS_PER_S
-BEHIND_NS = clock.NS_PER_S  # more than synchronized clocks of two machines differ by
-LISTS = 2  # in a row: one may come after an outage of discovery, or name a server whose own clock is wrong
+# A start that is reported later than this shows a wrong clock.  Servers that take a minute to be listed, and
+# lists that catch up after an outage of discovery, stay below it.
+MAX_REPORT_DELAY_NS = 900 * clock.NS_PER_S
+MAX_CLOCK_DIFFERENCE_NS = clock.NS_PER_S  # more than the synchronized clocks of two machines differ
+# In a row: a single list may come after an outage of discovery, or name a server whose own clock is wrong.
+IMPLAUSIBLE_LISTS_NEEDED = 2
 
 log = logging.getLogger(__name__)
 
 
 class ClockCheck:
-    """Compares the stated times of starts with the moments at which they were learned."""
+    """Compares the stated times of starts with the moments at which the gateway learned of them."""
 
     def __init__(self) -> None:
-        self._implausible = 0  # lists in a row
+        self._implausible_lists = 0  # in a row
 
     @property
-    def agrees(self) -> bool:
-        """Whether shared counts may be named by this clock; true until the starts of servers disprove it."""
-        return self._implausible < LISTS
+    def is_plausible(self) -> bool:
+        """Whether shared counts may be named by this clock; true until start times show that it is wrong."""
+        return self._implausible_lists < IMPLAUSIBLE_LISTS_NEEDED
 
-    def learned(self, stated_ns: Sequence[int], now: int) -> None:
-        """Take in the stated times of all starts that one list has told of."""
+    def check_starts(self, stated_ns: Sequence[int], now: int) -> None:
+        """Check the stated times of all new starts in one list, which was received ``now``."""
         if not stated_ns:
             return
-        ages = [now - stated for stated in stated_ns]
-        if any(-BEHIND_NS <= age <= LATEST_NS for age in ages):
-            if not self.agrees:
+        ages_ns = [now - stated for stated in stated_ns]
+        if any(-MAX_CLOCK_DIFFERENCE_NS <= age_ns <= MAX_REPORT_DELAY_NS for age_ns in ages_ns):
+            if not self.is_plausible:
                 log.warning("the clock agrees with discovery's again: quotas are shared again")
-            self._implausible = 0
+            self._implausible_lists = 0
             return
-        self._implausible += 1
-        if self._implausible == LISTS:
-            _log_disagreement(min(ages, key=abs))
+        self._implausible_lists += 1
+        if self._implausible_lists == IMPLAUSIBLE_LISTS_NEEDED:
+            _log_implausible_clock(min(ages_ns, key=abs))
 
 
-def _log_disagreement(age_ns: int) -> None:
+def _log_implausible_clock(age_ns: int) -> None:
     log.error(
-        "the clock is %s discovery's by some %.0f s: quotas are split evenly instead of shared; "
+        "the clock is %s discovery's by about %.0f s: quotas are split evenly instead of shared; "
         "set this machine's clock, then restart this gateway",
         "ahead of" if age_ns > 0 else "behind",
         abs(age_ns) / clock.NS_PER_S,
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -191,7 +191,7 @@
 
     def update_servers(self, change: Change, cached: bool = False) -> None:
         """Apply a server list or a change of it, from discovery or (if ``cached``) the configuration."""
-        change = self._server_starts.corrected(change, cached)
+        change = self._server_starts.correct_start_times(change, cached)
         self._backends.update_servers(change)
         mode = (
             interface.ListMode.CACHED
@@ -415,7 +415,7 @@
     def _call_counter(self, action: interface.Count) -> None:
         # The names of shared counts are derived from the time.  If this machine's clock disagrees with the
         # other gateways', its calls would go to other names, and customers would get their quota twice.
-        if self.counter is not None and self._server_starts.clock_check.agrees:
+        if self.counter is not None and self._server_starts.clock_check.is_plausible:
             self.counter.call(action)
         else:
             self._post(interface.Counted(action.name, interface.Status.DIAL_FAILED, 0.0, 0))
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -400,8 +400,8 @@
         server = interface.Server(
             name, interface.Phase.READY, started_ns=clock.now() - 10 * 60 * clock.NS_PER_S
         )
-        starts.corrected(Change(index, index == 0, (Endpoint(server, NOBODY),)), cached=False)
-    assert starts.clock_check.agrees
+        starts.correct_start_times(Change(index, index == 0, (Endpoint(server, NOBODY),)), cached=False)
+    assert starts.clock_check.is_plausible
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
