--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -3,8 +3,8 @@
 ``Frontend`` accepts connections, up to a budget, and owns them: each ``ClientConnection`` reads and answers
 HTTP, and calls back here with its requests and its changes of state.  Requests are validated and passed to
 the runtime, which sends each final answer to the connection.  With the budget used up, or out of descriptors,
-it closes connections that matter least (``ClientTable.make_room``) and leaves newcomers in the listen backlog
-meanwhile.  On SIGTERM it goes on accepting for a while, answers every request that arrives, and sets
+it closes connections that matter least (``ClientTable.make_room``) and leaves new connections in the listen
+backlog meanwhile.  On SIGTERM it goes on accepting for a while, answers every request that arrives, and sets
 ``finished`` once no connection is left or the time until SIGKILL has run out (see ``shutdown.py``).
 """
 
@@ -87,9 +87,9 @@
         if self._listener is not None and not self._listener_watched:
             try:
                 self.loop.add_reader(self._listener.fileno(), self._listener_readable)
-            except OSError as fault:
+            except OSError as error:
                 # Most likely a passing shortage; without a retry nothing would ever be accepted again.
-                self._log_accept_error(fault.errno or 0)
+                self._log_accept_error(error.errno or 0)
                 self.loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
                 return
             self._listener_watched = True
@@ -115,10 +115,10 @@
                 sock, _peer = self._listener.accept()
             except BlockingIOError:
                 return True
-            except OSError as fault:
-                if fault.errno in CONNECTION_NOT_ACCEPTED:
+            except OSError as error:
+                if error.errno in CONNECTION_NOT_ACCEPTED:
                     continue  # only that connection is gone; others may wait behind it
-                return self._accept_failed(fault.errno or 0)
+                return self._accept_failed(error.errno or 0)
             self._last_accept_errno = 0
             self._add_client(sock)
         return False
@@ -244,7 +244,8 @@
         now = clock.now()
         schedule = self._shutdown.start(now)
         self.runtime.begin_shutdown(schedule.answers_due_ns)
-        self._watch_listener()  # serves the backlog even if the start, which delays it, is not over
+        # Accepting may still wait for the first server list; the backlog has to be served without it now.
+        self._watch_listener()
         self.clients.close_idle()
         self._call_after_ns(self._shutdown.accept_remaining_ns(now), self._close_listener)
         self._call_after_ns(schedule.answers_due_ns - now, self._answers_due)
@@ -254,7 +255,7 @@
         self.loop.call_later(delay_ns / clock.NS_PER_S, callback)
 
     def _close_listener(self) -> None:
-        """Close the listener once new connections have ceased and nobody waits in the backlog."""
+        """Close the listener once no new connections are expected and the backlog is empty."""
         if self._listener is None:
             return
         wait_ns = self._shutdown.accept_remaining_ns(clock.now())
@@ -262,7 +263,8 @@
             self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
             return
         if not self._accept_batch():
-            # Closing now would reset connections that are in the backlog because of a full table or turn.
+            # Closing now would reset the connections that are still in the backlog, as the table is full or
+            # one turn accepts only so many.
             self.loop.call_later(ACCEPT_PAUSE_S, self._close_listener)
             return
         self._stop_listening()
@@ -330,5 +332,5 @@
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as fault:
-        log.info("could not set the options of a client socket: %s", describe_error(fault.errno or 0))
+    except OSError as error:
+        log.info("could not set the options of a client socket: %s", describe_error(error.errno or 0))
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -21,7 +21,7 @@
 from gingerworks.gateway import clock
 from gingerworks.gateway.backend import Answer, Attempt, Backends
 from gingerworks.gateway.config import Address, Config
-from gingerworks.gateway.counter import Counter
+from gingerworks.gateway.counter import CounterClient
 from gingerworks.gateway.discovery import Change
 from gingerworks.gateway.server_starts import ServerStarts
 from gingerworks.policy import Policy
@@ -132,7 +132,7 @@
             interface.Watch: lambda action: None,  # the gateway always watches the list
             interface.Log: lambda action: log.warning("%s", action.text),
         }
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         self.use_counter(config.counter)
 
     def use_counter(self, address: Address | None) -> None:
@@ -142,7 +142,7 @@
         self.counter = None
         if address is not None:
             wait_ns = self._config.settings.counter_wait_ns
-            self.counter = Counter(self._loop, address, wait_ns, self._config.seed, self._post)
+            self.counter = CounterClient(self._loop, address, wait_ns, self._config.seed, self._post)
             self.counter.connect()
 
     def close(self) -> None:
@@ -191,7 +191,7 @@
 
     def update_servers(self, change: Change, cached: bool = False) -> None:
         """Apply a server list or a change of it, from discovery or (if ``cached``) the configuration."""
-        change = self._server_starts.corrected(change, cached)
+        change = self._server_starts.correct_start_times(change, cached)
         self._backends.update_servers(change)
         mode = (
             interface.ListMode.CACHED
@@ -415,7 +415,7 @@
     def _call_counter(self, action: interface.Count) -> None:
         # The names of shared counts are derived from the time.  If this machine's clock disagrees with the
         # other gateways', its calls would go to other names, and customers would get their quota twice.
-        if self.counter is not None and self._server_starts.clock_check.agrees:
+        if self.counter is not None and self._server_starts.clock_check.is_plausible:
             self.counter.call(action)
         else:
             self._post(interface.Counted(action.name, interface.Status.DIAL_FAILED, 0.0, 0))
--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -24,7 +24,7 @@
 from typing import Protocol
 
 from gingerworks import interface
-from gingerworks.policy.clock_sync import EPOCHS_IN_LAP, ClockSync
+from gingerworks.policy.clock_sync import EPOCHS_PER_LAP, ClockSync
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.in_flight import InFlightRequest
@@ -197,17 +197,17 @@
         return self.ceiling_allowance is None or self.ceiling_allowance.covers(units)
 
     def covers_without_reading(self, units: float) -> bool:
-        """Whether to admit a request after a call without an answer.
+        """Whether to admit a request while the counter gives no answer.
 
-        A request larger than the even share needs only that share, unless the last reading found that the
-        store was exhausted.
+        For a request larger than the even share the allowance has to hold no more than that share, unless the
+        last reading found the store exhausted.
         """
         return self.allowance.covers(min(units, self.even_burst)) and not (
             self.exhausted and units > self.even_burst
         )
 
     def share_covers(self, units: float) -> bool:
-        """Whether the share covers a request, of which half or the even share may still be missing."""
+        """Whether the share covers a request, of which half, or the even share if less, may be missing."""
         return self.share_allowance.covers(units - min(self.even_burst, units * SHARE_ADVANCE))
 
     def count_name(self, now: int) -> tuple[int, int]:
@@ -217,8 +217,8 @@
         their machines, which may differ: then some gateways would use counts of other names, and grant the
         reserve of the ceiling once more.
         """
-        epoch, age = divmod(self.clock.time(now) + self.epoch_offset_ns, COUNT_TTL_NS)
-        digest = hashlib.blake2b(f"{self.key} {epoch % EPOCHS_IN_LAP}".encode(), digest_size=8).digest()
+        epoch, age = divmod(self.clock.agreed_time(now) + self.epoch_offset_ns, COUNT_TTL_NS)
+        digest = hashlib.blake2b(f"{self.key} {epoch % EPOCHS_PER_LAP}".encode(), digest_size=8).digest()
         return int.from_bytes(digest, "big") >> 1, now - age  # the counter's names have 63 bits
 
     def undo_duplicate_repair(self, call: CounterCall, deficit: float) -> float:
@@ -252,14 +252,14 @@
         return self.allowance.cap - deficit if now - self.overuse_since_ns >= self.repair_settle_ns else 0.0
 
     def apply_reading(
-        self, call: CounterCall, level: float, now: int
+        self, call: CounterCall, total: float, now: int
     ) -> list[tuple[InFlightRequest[Customer], bool]]:
         """Learn the store's deficit from a total; returns whether it covers each of the requests held."""
         refilled = self.plan.rate * (now - call.count_began_ns) / SECOND
-        level -= self.undo_duplicate_repair(call, level - call.amount - refilled)
+        total -= self.undo_duplicate_repair(call, total - call.amount - refilled)
         reported = max(0.0, call.reported)  # below 0 it corrects units that were added but never used
         # The deficit without the use that this call reported and booked.
-        deficit_before = level - (call.amount - call.reported - call.repair + reported) - refilled
+        deficit_before = total - (call.amount - call.reported - call.repair + reported) - refilled
         unreported, repair = max(0.0, self.unreported), self.needed_repair(deficit_before, now)
         self.repair_due, self.deficit_before_repair = repair, deficit_before
         repaired = self.allowance.cap if self.overuse_since_ns is not None else deficit_before + repair
@@ -318,7 +318,7 @@
         """``agreed``: this gateway has evidence that the others name the count by the same time."""
         self.customer = customer
         self.clock_agreed = agreed
-        self.clock_steps = customer.clock.steps
+        self.clock_steps_at_start = customer.clock.clock_steps
         self.count_began_ns = count_began_ns
         self.reported = customer.unreported
         self.repair, self.deficit_before_repair = repair, customer.deficit_before_repair
