--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -1,4 +1,8 @@
-"""System calls that fail for a moment, in the ways that Linux documents, on each kind of connection."""
+"""Tests of system calls that fail in the ways that Linux documents, on each kind of connection.
+
+A shortage on this host must not count against a server, the counter or discovery; a temporary error must not
+lose a connection; and no error may lead to a second run of a request or to a busy loop.
+"""
 
 from __future__ import annotations
 
@@ -43,28 +47,28 @@
 from tests.support import MS, SECOND, policy_with_servers, request
 from tests.test_full_client_table import HEALTH
 from tests.test_gateway_attempts import Results, make_attempt, make_backends, run_attempt
-from tests.test_gateway_counter import call as counted
+from tests.test_gateway_counter import call as counter_call
 from tests.test_gateway_counter import counter, echoing, scripted
 from tests.test_gateway_discovery import line, watching
 
-FOR_GOOD = 1 << 30
+FOREVER = 1 << 30
 
 
-def injected(monkeypatch: pytest.MonkeyPatch, *faults: Fault, **sizes: int) -> FaultySocketModule:
-    """FaultySocketModule in the sockets that lead to servers and to the counter."""
-    made = FaultySocketModule(*faults, **sizes)
-    monkeypatch.setattr(dial, "socket", made)
-    return made
+def inject_faults(monkeypatch: pytest.MonkeyPatch, *faults: Fault, **sizes: int) -> FaultySocketModule:
+    """Inject faults into the sockets that lead to servers and to the counter."""
+    faulty = FaultySocketModule(*faults, **sizes)
+    monkeypatch.setattr(dial, "socket", faulty)
+    return faulty
 
 
-def left_out(made: Gateway) -> list[str]:
-    """The servers that are held to accept no connection, or to fail."""
-    servers = made.runtime._policy.servers.backends.values()
+def avoided_servers(gw: Gateway) -> list[str]:
+    """The servers that the policy avoids as unreachable or failing."""
+    servers = gw.runtime._policy.servers.backends.values()
     return [server.entry.name for server in servers if server.unreachable_until_ns or server.ejected_until_ns]
 
 
-def failing(name: str) -> Callable[..., None]:
-    """A method of the loop that finds no memory."""
+def out_of_memory(name: str) -> Callable[..., None]:
+    """A replacement for a method of the loop that fails for lack of memory."""
 
     def method(*arguments: object) -> None:
         raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM), name)
@@ -72,14 +76,14 @@
     return method
 
 
-def shown(value: object) -> str:
-    """A parameter in a test's name."""
+def parameter_id(value: object) -> str:
+    """The id of a test's parameter."""
     if isinstance(value, Call):
         return value.name
     return errno.errorcode[value] if isinstance(value, int) and not isinstance(value, bool) else str(value)
 
 
-HERE = [
+LOCAL_FAILURES = [
     *((Call.SOCKET, code) for code in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
     *((Call.SETSOCKOPT, code) for code in (errno.ENOBUFS, errno.ENOMEM)),
     *((Call.CONNECT, code) for code in (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EADDRINUSE)),
@@ -90,22 +94,24 @@
 ]
 
 
-@pytest.mark.parametrize(("call", "code"), HERE, ids=shown)
-def test_a_dial_that_fails_on_this_host_is_held_against_no_server(
+@pytest.mark.parametrize(("call", "code"), LOCAL_FAILURES, ids=parameter_id)
+def test_a_local_connect_failure_does_not_count_against_a_server(
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Each server that a shortage met was left out for a second and more, so the whole fleet seemed away.
+    # Each server whose connect failed for a local shortage was once avoided for a second and more, so that
+    # all servers seemed to be unreachable.
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
-        made = gateway(one.address, two.address)
-        faults = injected(monkeypatch, Fault(call, code, times=FOR_GOOD))
-        client = await Client.to(made)
+        gw = gateway(one.address, two.address)
+        faults = inject_faults(monkeypatch, Fault(call, code, times=FOREVER))
+        client = await Client.to(gw)
         for _ in range(3):
-            status, head, _ = await client.send(ask("post"))  # may not run twice, so it must be known not to
+            # An unsafe request may be refused only because it is known not to have run.
+            status, head, _ = await client.send(ask("post"))
             assert status == 503
             assert b"Retry-After" in head
-        assert faults.call_counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
-        assert not left_out(made)
+        assert faults.call_counts[call] <= 3 * gw._config.settings.limits.max_attempts  # no busy loop
+        assert not avoided_servers(gw)
         assert faults.all_closed()
         assert not one.requests + two.requests
         said = [record for record in caplog.records if "cannot connect to servers" in record.message]
@@ -120,81 +126,83 @@
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.EADDRNOTAVAIL, errno.ENETUNREACH])
-def test_after_a_dial_that_failed_on_this_host_the_request_is_served_by_the_next(
+def test_a_request_is_retried_after_a_local_connect_failure(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
+        gw = gateway(server.address)
         call = Call.SOCKET if code == errno.EMFILE else Call.CONNECT
-        faults = injected(monkeypatch, Fault(call, code, times=2))
-        assert (await (await Client.to(made)).send(ask("post")))[0] == 200
+        faults = inject_faults(monkeypatch, Fault(call, code, times=2))
+        assert (await (await Client.to(gw)).send(ask("post")))[0] == 200
         assert faults.fault_counts[call] == 2
         assert len(server.requests) == 1
 
     run(scenario())
 
 
-def test_a_loop_that_cannot_watch_a_dial_is_held_against_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The error left the constructor with the socket open.
+def test_a_loop_that_cannot_watch_a_connecting_socket_does_not_count_against_a_server(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # The error once escaped from the constructor and left the socket open.
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = make_backends(server.address), injected(monkeypatch)
+        pool, faults = make_backends(server.address), inject_faults(monkeypatch)
         with monkeypatch.context() as patch:
-            patch.setattr(asyncio.get_running_loop(), "add_writer", failing("add_writer"))
-            assert await run_attempt(made) is interface.Status.UNUSED
+            patch.setattr(asyncio.get_running_loop(), "add_writer", out_of_memory("add_writer"))
+            assert await run_attempt(pool) is interface.Status.UNUSED
         assert faults.all_closed()
-        assert not made._open
-        assert await run_attempt(made) is interface.Status.DELIVERED
+        assert not pool._open
+        assert await run_attempt(pool) is interface.Status.DELIVERED
 
     run(scenario())
 
 
-def test_a_loop_that_cannot_watch_a_new_connection_is_held_against_no_server(
+def test_a_loop_that_cannot_watch_a_new_connection_does_not_count_against_a_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The error escaped into the loop, and the attempt waited out its time on a connection nobody read.
+    # The error once escaped into the loop, and the attempt timed out on a connection that nothing read.
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = make_backends(server.address), injected(monkeypatch)
+        pool, faults = make_backends(server.address), inject_faults(monkeypatch)
         with monkeypatch.context() as patch:
-            patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
-            assert await run_attempt(made) is interface.Status.UNUSED
+            patch.setattr(asyncio.get_running_loop(), "add_reader", out_of_memory("add_reader"))
+            assert await run_attempt(pool) is interface.Status.UNUSED
         assert faults.all_closed()
-        assert not made._open
-        assert await run_attempt(made) is interface.Status.DELIVERED
+        assert not pool._open
+        assert await run_attempt(pool) is interface.Status.DELIVERED
 
     run(scenario())
 
 
-THERE = [
+REMOTE_FAILURES = [
     *((Call.CONNECT, code) for code in (errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT)),
     *((Call.SO_ERROR, code) for code in (errno.ECONNREFUSED, errno.ECONNRESET, errno.ETIMEDOUT)),
     *((Call.SO_ERROR, code) for code in (errno.EHOSTUNREACH, errno.ENETUNREACH)),
 ]
 
 
-@pytest.mark.parametrize(("call", "code"), THERE, ids=shown)
-def test_a_dial_that_fails_on_the_way_is_told_as_no_connection(
+@pytest.mark.parametrize(("call", "code"), REMOTE_FAILURES, ids=parameter_id)
+def test_a_remote_connect_failure_ends_the_attempt_as_not_connected(
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made, faults = make_backends(server.address), injected(monkeypatch, Fault(call, code))
-        assert await run_attempt(made) is interface.Status.DIAL_FAILED
+        pool, faults = make_backends(server.address), inject_faults(monkeypatch, Fault(call, code))
+        assert await run_attempt(pool) is interface.Status.DIAL_FAILED
         assert faults.all_closed()
-        assert await run_attempt(made) is interface.Status.DELIVERED
+        assert await run_attempt(pool) is interface.Status.DELIVERED
 
     run(scenario())
 
 
-def test_a_connect_that_a_signal_interrupts_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    # It was taken for a server that accepts no connection, and the connection that came up was closed.
+def test_a_connect_interrupted_by_a_signal_continues(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The interrupt once counter_call as a connect failure, and the connection was closed once established.
     async def scenario() -> None:
         server = await answering(OK)
-        made = make_backends(server.address)
-        injected(monkeypatch, Fault(Call.CONNECT, errno.EINTR))
-        assert await run_attempt(made) is interface.Status.DELIVERED
+        pool = make_backends(server.address)
+        inject_faults(monkeypatch, Fault(Call.CONNECT, errno.EINTR))
+        assert await run_attempt(pool) is interface.Status.DELIVERED
         assert server.connections == 1
 
     run(scenario())
@@ -210,127 +218,128 @@
         (Call.CONNECT, errno.ENETUNREACH, True),
         (Call.CONNECT, errno.ECONNREFUSED, True),
     ],
-    ids=shown,
+    ids=parameter_id,
 )
-def test_an_idle_connection_is_closed_only_for_its_descriptor(
+def test_an_idle_connection_is_closed_only_to_free_a_descriptor(
     call: Call, code: int, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It may be the only way left to its server; any failed dial, also a refused one, closed the oldest.
+    # It may be the only way left to reach its server.  Any failed connect, even a refused one, once closed
+    # the oldest idle connection.
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
-        made = make_backends(one.address, two.address)
-        assert await run_attempt(made) is interface.Status.DELIVERED
-        injected(monkeypatch, Fault(call, code))
-        ended: Results = []
-        made.start(make_attempt(ended, "s1"))
-        assert ended
-        assert bool(made._idle.get("s0")) is kept
-        assert await run_attempt(made, server="s1") is interface.Status.DELIVERED
+        pool = make_backends(one.address, two.address)
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        inject_faults(monkeypatch, Fault(call, code))
+        results: Results = []
+        pool.start(make_attempt(results, "s1"))
+        assert results
+        assert bool(pool._idle.get("s0")) is kept
+        assert await run_attempt(pool, server="s1") is interface.Status.DELIVERED
 
     run(scenario())
 
 
-def test_a_server_that_refuses_costs_no_idle_connection_to_another() -> None:
-    # As above, by the kernel's own refusal.
+def test_a_refused_connect_does_not_close_an_idle_connection_to_another_server() -> None:
+    # As above, with a refusal by the kernel instead of an injected one.
     async def scenario() -> None:
         server = await answering(OK)
-        made = make_backends(server.address, ("127.0.0.1", closed_port()))
-        assert await run_attempt(made) is interface.Status.DELIVERED
-        assert await run_attempt(made, server="s1") is interface.Status.DIAL_FAILED
-        assert made._idle["s0"]
+        pool = make_backends(server.address, ("127.0.0.1", closed_port()))
+        assert await run_attempt(pool) is interface.Status.DELIVERED
+        assert await run_attempt(pool, server="s1") is interface.Status.DIAL_FAILED
+        assert pool._idle["s0"]
 
     run(scenario())
 
 
-def test_a_table_of_connections_that_is_full_is_held_against_no_server() -> None:
-    # Each server chosen while all descriptors for servers were in use was left out for a second and more.
+def test_the_connection_limit_does_not_count_against_a_server() -> None:
+    # Each server chosen while all connections to servers were in use was once avoided for a second and more.
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
-        made = gateway(one.address, two.address)
-        budget, made.backends._max_connections = made.backends._max_connections, 0
-        client = await Client.to(made)
+        gw = gateway(one.address, two.address)
+        budget, gw.backends._max_connections = gw.backends._max_connections, 0
+        client = await Client.to(gw)
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
-        assert not left_out(made)
-        made.backends._max_connections = budget
+        assert not avoided_servers(gw)
+        gw.backends._max_connections = budget
         assert (await client.send(ask("post")))[0] == 200
 
     run(scenario())
 
 
-@pytest.mark.parametrize(("call", "code"), HERE, ids=shown)
-def test_a_dial_to_the_counter_that_fails_on_this_host_is_no_silence_of_the_counter(
+@pytest.mark.parametrize(("call", "code"), LOCAL_FAILURES, ids=parameter_id)
+def test_a_local_connect_failure_does_not_count_as_a_silent_counter(
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The pause before the next dial doubled up to a second, as for a counter that is away.
+    # The pause before the next connect once doubled up to a second, as for an unreachable counter.
     now = [0]
     monkeypatch.setattr(clock, "now", lambda: now[0])
 
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(call, code, times=FOR_GOOD))
+        faults = inject_faults(monkeypatch, Fault(call, code, times=FOREVER))
         peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        counter_client, answers = counter(peer.address)
         for _ in range(8):
-            before = len(told)
+            before = len(answers)
             for number in range(100):
-                made.call(counted(number))
-            await until(lambda: len(told) == before + 100)  # noqa: B023
+                counter_client.call(counter_call(number))
+            await until(lambda: len(answers) == before + 100)  # noqa: B023
             now[0] += 3 * counter_module.MIN_RECONNECT_DELAY_NS // 2
-        assert {answer.status for answer in told} == {interface.Status.UNUSED}
-        assert faults.call_counts[call] == 8  # one dial for each pause, however many calls
+        assert {answer.status for answer in answers} == {interface.Status.UNUSED}
+        assert faults.call_counts[call] == 8  # one connect for each pause, however many calls
         assert faults.all_closed()
         faults.replace_faults([])
-        made.call(counted(1000))
-        await until(lambda: len(told) == 801)
-        assert told[-1].status is interface.Status.DELIVERED
+        counter_client.call(counter_call(1000))
+        await until(lambda: len(answers) == 801)
+        assert answers[-1].status is interface.Status.DELIVERED
 
     run(scenario())
 
 
-def test_a_loop_that_cannot_watch_the_counter_ends_that_connection_only(
+def test_a_loop_that_cannot_watch_the_counter_loses_that_connection_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # The error left the loop's callback: the socket stayed open, and calls waited there for their time.
+    # The error once escaped from the loop's callback: the socket stayed open, and calls on it timed out.
     now = [0]
     monkeypatch.setattr(clock, "now", lambda: now[0])
 
     async def scenario() -> None:
-        faults, peer = injected(monkeypatch), await scripted(echoing)
-        made, told = counter(peer.address)
+        faults, peer = inject_faults(monkeypatch), await scripted(echoing)
+        counter_client, answers = counter(peer.address)
         with monkeypatch.context() as patch:
-            patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
-            made.call(counted(1))
-            await until(lambda: bool(told))
-        assert told[0].status is interface.Status.UNUSED
+            patch.setattr(asyncio.get_running_loop(), "add_reader", out_of_memory("add_reader"))
+            counter_client.call(counter_call(1))
+            await until(lambda: bool(answers))
+        assert answers[0].status is interface.Status.UNUSED
         assert faults.all_closed()
         now[0] += 2 * counter_module.MIN_RECONNECT_DELAY_NS
-        made.call(counted(2))
-        await until(lambda: len(told) == 2)
-        assert told[1].status is interface.Status.DELIVERED
+        counter_client.call(counter_call(2))
+        await until(lambda: len(answers) == 2)
+        assert answers[1].status is interface.Status.DELIVERED
 
     run(scenario())
 
 
 @pytest.mark.parametrize("refused", [True, False])
-def test_a_counter_that_refuses_is_dialled_less_and_less(
+def test_connects_to_an_unreachable_counter_become_rarer(
     refused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         code = errno.ECONNREFUSED if refused else errno.ETIMEDOUT
-        injected(monkeypatch, Fault(Call.SO_ERROR, code, times=FOR_GOOD))
+        inject_faults(monkeypatch, Fault(Call.SO_ERROR, code, times=FOREVER))
         peer = await scripted(echoing)
-        made, told = counter(peer.address)
-        made.call(counted(1))
-        await until(lambda: len(told) == 1)
-        assert told[0].status is interface.Status.DIAL_FAILED
-        assert made._reconnect_delay_ns == 2 * counter_module.MIN_RECONNECT_DELAY_NS
+        counter_client, answers = counter(peer.address)
+        counter_client.call(counter_call(1))
+        await until(lambda: len(answers) == 1)
+        assert answers[0].status is interface.Status.DIAL_FAILED
+        assert counter_client._reconnect_delay_ns == 2 * counter_module.MIN_RECONNECT_DELAY_NS
 
     run(scenario())
 
 
-def test_calls_that_never_left_do_not_make_others_rarer() -> None:
-    # The counter was asked less often for a shortage of this host, as if it had been late.
+def test_unsent_counter_calls_do_not_reduce_the_rate_of_calls() -> None:
+    # A shortage on this host once made calls rarer, as if the counter had answered late.
     policy = policy_with_servers()
     before = policy.quotas.read_fraction
     for number in range(8):
@@ -355,39 +364,39 @@
         (errno.EHOSTUNREACH, interface.Status.DIAL_FAILED),
         (errno.ENETUNREACH, interface.Status.DIAL_FAILED),
     ],
-    ids=shown,
+    ids=parameter_id,
 )
-def test_a_request_that_cannot_be_written_whole_never_ran(
+def test_a_request_that_cannot_be_fully_written_never_ran(
     code: int, status: interface.Status, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A signal, or a moment without buffers, was taken for a server that accepts no connection.
+    # A signal, or a temporary lack of buffers, once counter_call as a server that accepts no connection.
     async def scenario() -> None:
         server = await answering(OK)
-        made = make_backends(server.address)
-        faults = injected(monkeypatch, Fault(Call.SEND, code, first=first), max_sent=16)
-        assert await run_attempt(made) is status
+        pool = make_backends(server.address)
+        faults = inject_faults(monkeypatch, Fault(Call.SEND, code, first=first), max_sent=16)
+        assert await run_attempt(pool) is status
         if status is not interface.Status.DELIVERED:
             assert faults.all_closed()
             assert not server.requests
-            assert await run_attempt(made) is interface.Status.DELIVERED
+            assert await run_attempt(pool) is interface.Status.DELIVERED
 
     run(scenario())
 
 
-@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_a_host_without_buffers_refuses_and_blames_no_server(
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_a_request_without_send_buffers_is_refused_and_counts_against_no_server(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         one, two = await answering(OK), await answering(OK)
-        made = gateway(one.address, two.address)
-        faults = injected(monkeypatch, Fault(Call.SEND, code, times=FOR_GOOD))
-        client = await Client.to(made)
+        gw = gateway(one.address, two.address)
+        faults = inject_faults(monkeypatch, Fault(Call.SEND, code, times=FOREVER))
+        client = await Client.to(gw)
         status, head, _ = await client.send(ask("post"))
         assert status == 503
         assert b"Retry-After" in head
-        assert faults.call_counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
-        assert not left_out(made)
+        assert faults.call_counts[Call.SEND] <= gw._config.settings.limits.max_attempts  # no busy loop
+        assert not avoided_servers(gw)
         faults.replace_faults([])
         assert (await client.send(ask("post")))[0] == 200
         assert len(one.requests + two.requests) == 1
@@ -395,10 +404,10 @@
     run(scenario())
 
 
-BARE = b"HTTP/1.1 200 OK\r\n\r\n" + BODY
+UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\n" + BODY
 
 
-@pytest.mark.parametrize("answer", [OK, BARE], ids=["a length", "no length"])
+@pytest.mark.parametrize("answer", [OK, UNFRAMED], ids=["a length", "no length"])
 @pytest.mark.parametrize("first", [1, 3])
 @pytest.mark.parametrize(
     ("code", "status"),
@@ -411,23 +420,23 @@
         (errno.ETIMEDOUT, interface.Status.DROPPED),
         (errno.EHOSTUNREACH, interface.Status.DROPPED),
     ],
-    ids=shown,
+    ids=parameter_id,
 )
-def test_an_answer_is_read_past_what_lasts_for_a_moment_and_cut_by_what_breaks(
+def test_reading_an_answer_continues_after_a_temporary_error_and_ends_at_a_broken_connection(
     code: int, status: interface.Status, first: int, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A signal, or a moment without memory, was taken for a reset: an answer that was there was lost.
+    # A signal, or a temporary lack of memory, once counter_call as a reset, and an available answer was lost.
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             peer.requests.append(await read_message(reader))
             writer.write(answer)
 
         server = await Peer(script).start()
-        injected(monkeypatch, Fault(Call.RECV, code, first=first), max_received=16)
-        made, ended = make_backends(server.address), Results()
-        made.start(make_attempt(ended))
-        await until(lambda: bool(ended))
-        got = ended[0]
+        inject_faults(monkeypatch, Fault(Call.RECV, code, first=first), max_received=16)
+        pool, results = make_backends(server.address), Results()
+        pool.start(make_attempt(results))
+        await until(lambda: bool(results))
+        got = results[0]
         assert got[0] is status
         assert len(server.requests) == 1
         if status is interface.Status.DELIVERED:
@@ -437,56 +446,56 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_a_lasting_want_of_buffers_at_a_server_is_met_by_pauses(
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_reads_from_a_server_pause_while_there_are_no_buffers(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Each turn of the loop tried anew, with all of a core, until the attempt's time was over.
+    # The loop once retried the read in each turn, at the full load of a core, until the attempt timed out.
     monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
         server = await answering(OK)
-        faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
-        made, ended = make_backends(server.address), Results()
-        made.start(make_attempt(ended))
+        faults = inject_faults(monkeypatch, Fault(Call.RECV, code, times=FOREVER))
+        pool, results = make_backends(server.address), Results()
+        pool.start(make_attempt(results))
         await until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.fault_counts[Call.RECV] == 1
         faults.replace_faults([])
-        (connection,) = made._open
+        (connection,) = pool._open
         assert connection.socket is not None
-        read_retry.retry_read(made.loop, connection.socket, connection.on_readable, lambda: True)
-        await until(lambda: bool(ended))
-        assert ended[0][0] is interface.Status.DELIVERED
+        read_retry.retry_read(pool.loop, connection.socket, connection.on_readable, lambda: True)
+        await until(lambda: bool(results))
+        assert results[0][0] is interface.Status.DELIVERED
 
     run(scenario())
 
 
-@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_a_lasting_want_of_buffers_for_the_counters_answers_is_met_by_pauses(
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_reads_from_the_counter_pause_while_there_are_no_buffers(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
+        faults = inject_faults(monkeypatch, Fault(Call.RECV, code, times=FOREVER))
         peer = await scripted(echoing)
-        made, _ = counter(peer.address)
-        made.call(counted(1, 1.5))
+        counter_client, _ = counter(peer.address)
+        counter_client.call(counter_call(1, 1.5))
         await until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.fault_counts[Call.RECV] == 1
-        made.close()
+        counter_client.close()
 
     run(scenario())
 
 
-def test_requests_and_answers_pass_byte_by_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_and_answers_may_be_transferred_byte_by_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        injected(monkeypatch, max_sent=1, max_received=1)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        inject_faults(monkeypatch, max_sent=1, max_received=1)
+        client = await Client.to(gw)
         for _ in range(3):
             request = ask("post", body=b"some bytes")
             for place in range(len(request)):
@@ -500,80 +509,81 @@
     run(scenario())
 
 
-def listening(monkeypatch: pytest.MonkeyPatch, made: Gateway, *faults: Fault) -> FaultySocketModule:
-    """FaultySocketModule in the sockets of clients, and in the listener that a gateway has opened already."""
-    injected_here = FaultySocketModule(*faults)
-    listener = made.frontend._listener
+def inject_into_listener(monkeypatch: pytest.MonkeyPatch, gw: Gateway, *faults: Fault) -> FaultySocketModule:
+    """Inject faults into the listener that a gateway has opened, and into its clients' sockets."""
+    faulty_module = FaultySocketModule(*faults)
+    listener = gw.frontend._listener
     assert listener is not None
-    faulty = FaultySocket(injected_here, listener.family, listener.type, fileno=listener.detach())
-    made.frontend._listener = faulty
-    return injected_here
+    faulty = FaultySocket(faulty_module, listener.family, listener.type, fileno=listener.detach())
+    gw.frontend._listener = faulty
+    return faulty_module
 
 
-NO_SHORTAGE = [
+CONNECTION_ERRORS = [
     *(errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN),
     *(errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT, errno.EPERM),
 ]
 
 
-async def resting_and_waiting(made: Gateway) -> tuple[Client, list[Client]]:
-    """A client that rests after an answer, and others that have connected and are not accepted yet."""
-    resting = await Client.to(made)
-    assert (await resting.send(HEALTH))[0] == 200
-    made.frontend._unwatch_listener()
-    return resting, [await Client.to(made) for _ in range(3)]
+async def idle_and_waiting_clients(gw: Gateway) -> tuple[Client, list[Client]]:
+    """An idle client that has had an answer, and others that have connected and are not accepted yet."""
+    idle = await Client.to(gw)
+    assert (await idle.send(HEALTH))[0] == 200
+    gw.frontend._unwatch_listener()
+    return idle, [await Client.to(gw) for _ in range(3)]
 
 
-@pytest.mark.parametrize("code", NO_SHORTAGE, ids=shown)
-def test_a_connection_that_ends_before_it_is_accepted_costs_no_other(
+@pytest.mark.parametrize("code", CONNECTION_ERRORS, ids=parameter_id)
+def test_a_connection_lost_before_accept_does_not_affect_others(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Clients between requests were closed, and nobody was accepted for 20 ms, though nothing was short.
+    # Such a connection once counter_call as a shortage: idle clients were closed, and none accepted for 20
+    # ms.
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        made = gateway()
-        resting, waiting = await resting_and_waiting(made)
-        listening(monkeypatch, made, Fault(Call.ACCEPT, code, times=2))
-        assert made.frontend._accept_batch()  # nobody waits any more
-        assert len(made.frontend.clients.open) == 4
-        for client in [resting, *waiting]:
+        gw = gateway()
+        idle, waiting = await idle_and_waiting_clients(gw)
+        inject_into_listener(monkeypatch, gw, Fault(Call.ACCEPT, code, times=2))
+        assert gw.frontend._accept_batch()  # the backlog is empty
+        assert len(gw.frontend.clients.open) == 4
+        for client in [idle, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
 
     run(scenario())
 
 
-def test_connections_that_end_before_they_are_accepted_do_not_hold_up_a_turn(
+def test_connections_lost_before_accept_do_not_block_the_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        made = gateway()
-        faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ECONNABORTED, times=FOR_GOOD))
-        assert not made.frontend._accept_batch()
+        gw = gateway()
+        faults = inject_into_listener(monkeypatch, gw, Fault(Call.ACCEPT, errno.ECONNABORTED, times=FOREVER))
+        assert not gw.frontend._accept_batch()
         assert faults.call_counts[Call.ACCEPT] == frontend.ACCEPTS_PER_TURN
 
     run(scenario())
 
 
-@pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_a_shortage_at_accept_makes_room_and_is_told_once(
+@pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_a_shortage_at_accept_closes_idle_clients_and_is_logged_once(
     code: int, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # One line came with each pause of 20 ms, and said nothing of what to do.
+    # The shortage was once logged at each retry, every 20 ms, without saying what to do about it.
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        made = gateway()
-        resting, waiting = await resting_and_waiting(made)
-        faults = listening(monkeypatch, made, Fault(Call.ACCEPT, code, times=FOR_GOOD))
-        assert not made.frontend._accept_batch()
-        assert not made.frontend._listener_watched  # no spin
+        gw = gateway()
+        idle, waiting = await idle_and_waiting_clients(gw)
+        faults = inject_into_listener(monkeypatch, gw, Fault(Call.ACCEPT, code, times=FOREVER))
+        assert not gw.frontend._accept_batch()
+        assert not gw.frontend._listener_watched  # no busy loop
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-            await resting.send(HEALTH)
-        await until(lambda: faults.call_counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
+            await idle.send(HEALTH)
+        await until(lambda: faults.call_counts[Call.ACCEPT] >= 5)  # retried, with pauses between
         (said,) = [record.message for record in caplog.records if record.message.startswith("accept")]
         assert f"[Errno {code}]" in said
-        assert ";" in said  # what can be done about it
+        assert ";" in said  # advice for the operator
         faults.replace_faults([])
         for client in waiting:
             assert (await client.send(HEALTH))[0] == 200
@@ -581,173 +591,176 @@
     run(scenario())
 
 
-def test_a_fault_of_the_listener_that_is_no_shortage_closes_no_client(
+def test_an_accept_error_other_than_a_shortage_closes_no_client(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        made = gateway()
-        resting, waiting = await resting_and_waiting(made)
-        faults = listening(monkeypatch, made, Fault(Call.ACCEPT, errno.EINVAL))
-        assert not made.frontend._accept_batch()
-        assert faults.call_counts[Call.ACCEPT] == 1  # no spin
-        for client in [resting, *waiting]:
+        gw = gateway()
+        idle, waiting = await idle_and_waiting_clients(gw)
+        faults = inject_into_listener(monkeypatch, gw, Fault(Call.ACCEPT, errno.EINVAL))
+        assert not gw.frontend._accept_batch()
+        assert faults.call_counts[Call.ACCEPT] == 1  # no busy loop
+        for client in [idle, *waiting]:
             assert (await client.send(HEALTH))[0] == 200
 
     run(scenario())
 
 
-def test_a_gateway_without_descriptors_ends_where_nobody_waits(monkeypatch: pytest.MonkeyPatch) -> None:
-    # accept fails for want of a descriptor before it looks whether anybody waits: the end never came.
+def test_a_gateway_without_descriptors_shuts_down_early_if_no_client_waits(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Without a free descriptor accept(2) fails before it checks the backlog, so its error does not mean that
+    # a client waits.  The shutdown once waited for such clients without end.
     monkeypatch.setattr(shutdown, "QUIET_PERIOD_NS", 10 * MS)
 
     async def scenario() -> None:
-        made = gateway()
-        listening(monkeypatch, made, Fault(Call.ACCEPT, errno.ENFILE, times=FOR_GOOD))
-        made.frontend.begin_shutdown()
-        await made.wait_and_close()
-        assert clock.now() < made.frontend._shutdown.schedule.answers_due_ns
+        gw = gateway()
+        inject_into_listener(monkeypatch, gw, Fault(Call.ACCEPT, errno.ENFILE, times=FOREVER))
+        gw.frontend.begin_shutdown()
+        await gw.wait_and_close()
+        assert clock.now() < gw.frontend._shutdown.schedule.answers_due_ns
 
     run(scenario())
 
 
-@pytest.mark.parametrize("call", [Call.SETBLOCKING, Call.SETSOCKOPT], ids=shown)
-@pytest.mark.parametrize("code", [errno.EINVAL, errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_a_request_on_a_socket_that_takes_no_options_is_answered(
+@pytest.mark.parametrize("call", [Call.SETBLOCKING, Call.SETSOCKOPT], ids=parameter_id)
+@pytest.mark.parametrize("code", [errno.EINVAL, errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_a_request_is_answered_even_if_the_socket_options_cannot_be_set(
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The error left the loop's callback; the socket stayed open, unread, in no table.
+    # The error once escaped from the loop's callback, and the socket stayed open, neither read nor listed.
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        _, waiting = await resting_and_waiting(made)
-        faults = listening(monkeypatch, made, Fault(call, code, times=FOR_GOOD))
+        gw = gateway(server.address)
+        _, waiting = await idle_and_waiting_clients(gw)
+        faults = inject_into_listener(monkeypatch, gw, Fault(call, code, times=FOREVER))
         for client in waiting:
             client.writer.write(ask("post"))
-        assert made.frontend._accept_batch()
-        assert len(made.frontend.clients.open) == 4
+        assert gw.frontend._accept_batch()
+        assert len(gw.frontend.clients.open) == 4
         for client in waiting:
             assert (await client.answer())[0] == 200
             assert (await client.send(ask("post")))[0] == 200
             client.writer.close()
         await until(faults.all_closed)
-        assert len(made.frontend.clients.open) == 1
+        assert len(gw.frontend.clients.open) == 1
 
     run(scenario())
 
 
-def test_a_connection_that_cannot_be_attached_is_closed_and_forgotten(
+def test_a_connection_that_the_loop_cannot_attach_is_closed_and_removed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        made = gateway()
-        _, waiting = await resting_and_waiting(made)
-        faults = listening(monkeypatch, made)
+        gw = gateway()
+        _, waiting = await idle_and_waiting_clients(gw)
+        faults = inject_into_listener(monkeypatch, gw)
 
         async def attach(*arguments: object) -> None:
             raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
         with monkeypatch.context() as patch:
-            patch.setattr(made.frontend.loop, "connect_accepted_socket", attach)
-            assert made.frontend._accept_batch()
-            await until(lambda: len(made.frontend.clients.open) == 1)
+            patch.setattr(gw.frontend.loop, "connect_accepted_socket", attach)
+            assert gw.frontend._accept_batch()
+            await until(lambda: len(gw.frontend.clients.open) == 1)
         assert faults.all_closed()
         for client in waiting:
             assert await client.reader.read() == b""
-        assert (await (await Client.to(made)).send(HEALTH))[0] == 200
+        assert (await (await Client.to(gw)).send(HEALTH))[0] == 200
 
     run(scenario())
 
 
-def test_a_loop_that_cannot_watch_the_listener_tries_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The listener counted as watched from then on, and nobody was accepted any more.
+def test_watching_the_listener_is_retried_after_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    # After the error the listener once counter_call as watched, and no further client was accepted.
     async def scenario() -> None:
-        made = gateway()
-        await resting_and_waiting(made)
+        gw = gateway()
+        await idle_and_waiting_clients(gw)
         with monkeypatch.context() as patch:
-            patch.setattr(made.frontend.loop, "add_reader", failing("add_reader"))
+            patch.setattr(gw.frontend.loop, "add_reader", out_of_memory("add_reader"))
             with contextlib.suppress(OSError):
-                made.frontend._watch_listener()
-        assert (await (await Client.to(made)).send(HEALTH))[0] == 200
+                gw.frontend._watch_listener()
+        assert (await (await Client.to(gw)).send(HEALTH))[0] == 200
 
     run(scenario())
 
 
-async def come_but_not_read(
-    monkeypatch: pytest.MonkeyPatch, made: Gateway, asked: bool
+async def client_with_unread_request(
+    monkeypatch: pytest.MonkeyPatch, gw: Gateway, asked: bool
 ) -> tuple[Client, FaultySocketModule]:
-    """A client whose next request lies in the gateway's kernel buffer, unread, and its socket's faults."""
-    faults = listening(monkeypatch, made)
-    client = await Client.to(made)
+    """A client whose next request is unread in the gateway's kernel buffer, and its socket's faults."""
+    faults = inject_into_listener(monkeypatch, gw)
+    client = await Client.to(gw)
     if asked:
         assert (await client.send(HEALTH))[0] == 200
-    await until(lambda: [c.transport is not None for c in made.frontend.clients.open] == [True])
+    await until(lambda: [c.transport is not None for c in gw.frontend.clients.open] == [True])
     sock: socket.socket = client.writer.get_extra_info("socket")
-    os.write(sock.fileno(), ask("post"))  # before the loop turns again
+    os.write(sock.fileno(), ask("post"))  # before the next turn of the loop
     return client, faults
 
 
-def room_is_made(made: Gateway) -> None:
-    made.frontend.clients.make_room()
+def make_room(gw: Gateway) -> None:
+    gw.frontend.clients.make_room()
 
 
-def the_end_begins(made: Gateway) -> None:
-    made.frontend.begin_shutdown()
+def begin_shutdown(gw: Gateway) -> None:
+    gw.frontend.begin_shutdown()
 
 
-def it_has_rested_for_long(made: Gateway) -> None:
-    (client,) = made.frontend.clients.open
+def let_idle_time_pass(gw: Gateway) -> None:
+    (client,) = gw.frontend.clients.open
     client.check_timeouts(client.state_since_ns + 60 * SECOND)
 
 
-CLOSES = [room_is_made, the_end_begins, it_has_rested_for_long]
+CLOSING_EVENTS = [make_room, begin_shutdown, let_idle_time_pass]
 
 
 @pytest.mark.parametrize("asked", [False, True])
-@pytest.mark.parametrize("closes", CLOSES)
-@pytest.mark.parametrize("code", [errno.EINTR, errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_a_request_that_the_system_cannot_tell_of_for_a_moment_is_answered(
-    code: int, closes: Callable[[Gateway], None], asked: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("closing_event", CLOSING_EVENTS)
+@pytest.mark.parametrize("code", [errno.EINTR, errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_an_unread_request_is_answered_if_peeking_at_it_fails_temporarily(
+    code: int, closing_event: Callable[[Gateway], None], asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Any error of the look for unread bytes was taken for "nothing has come", and the connection was closed.
+    # Any error when peeking for unread data once counter_call as "no data", and the connection was closed.
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client, faults = await come_but_not_read(monkeypatch, made, asked)
+        gw = gateway(server.address)
+        client, faults = await client_with_unread_request(monkeypatch, gw, asked)
         faults.replace_faults([Fault(Call.RECV, code)])
-        closes(made)
+        closing_event(gw)
         assert faults.fault_counts[Call.RECV] == 1
         assert (await client.answer())[0] == 200
 
     run(scenario())
 
 
-@pytest.mark.parametrize("code", [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=shown)
-def test_a_connection_that_has_broken_holds_nothing_unread(
+@pytest.mark.parametrize("code", [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=parameter_id)
+def test_a_broken_connection_counts_as_having_no_unread_data(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        made = gateway()
-        client, faults = await come_but_not_read(monkeypatch, made, asked=True)
-        faults.replace_faults([Fault(Call.RECV, code, times=FOR_GOOD)])
-        made.frontend.clients.make_room()
-        await until(lambda: not made.frontend.clients.open)
+        gw = gateway()
+        client, faults = await client_with_unread_request(monkeypatch, gw, asked=True)
+        faults.replace_faults([Fault(Call.RECV, code, times=FOREVER)])
+        gw.frontend.clients.make_room()
+        await until(lambda: not gw.frontend.clients.open)
         assert client.writer is not None
 
     run(scenario())
 
 
-@pytest.mark.parametrize("code", [errno.EINTR, errno.ENOMEM, errno.EINVAL], ids=shown)
-def test_a_request_whose_client_cannot_be_looked_at_is_answered(
+@pytest.mark.parametrize("code", [errno.EINTR, errno.ENOMEM, errno.EINVAL], ids=parameter_id)
+def test_a_request_is_answered_if_polling_its_client_fails(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The error ended the request: it was answered as failed, and its attempt never began.
-    class Blind:
+    # The error once failed the request before its attempt had started.
+    class FailingPoll:
         """A poll object that fails."""
 
         def register(self, *arguments: object) -> None:
@@ -757,15 +770,15 @@
             raise OSError(code, os.strerror(code))
 
     class Select:
-        """Stands for the module ``select``."""
+        """Replaces the module ``select``."""
 
         POLLRDHUP = select.POLLRDHUP
-        poll = Blind
+        poll = FailingPoll
 
     async def scenario() -> None:
         server = await answering(OK)
-        made = gateway(server.address)
-        client = await Client.to(made)
+        gw = gateway(server.address)
+        client = await Client.to(gw)
         monkeypatch.setattr(client_module, "select", Select)
         for _ in range(2):
             assert (await client.send(ask("post")))[0] == 200
@@ -775,20 +788,20 @@
 
 @pytest.mark.parametrize("first", [1, 3])
 @pytest.mark.parametrize(
-    "code", [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ENFILE], ids=shown
+    "code", [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM, errno.ENFILE], ids=parameter_id
 )
-def test_calls_of_the_counter_are_written_past_what_lasts_for_a_moment(
+def test_writing_counter_calls_continues_after_a_temporary_error(
     code: int, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The connection was given up, and with it each call that was out counted as one that may have been added.
+    # The error once closed the connection, and each call in flight counter_call as possibly added.
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(Call.SEND, code, first=first, times=2), max_sent=7)
+        faults = inject_faults(monkeypatch, Fault(Call.SEND, code, first=first, times=2), max_sent=7)
         peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        counter_client, answers = counter(peer.address)
         for number in range(20):
-            made.call(counted(number, number + 0.5))
-        await until(lambda: len(told) == 20)
-        assert [(answer.status, answer.total) for answer in told] == [
+            counter_client.call(counter_call(number, number + 0.5))
+        await until(lambda: len(answers) == 20)
+        assert [(answer.status, answer.total) for answer in answers] == [
             (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
         assert peer.connections == 1
@@ -798,129 +811,133 @@
     run(scenario())
 
 
-def test_a_lasting_want_of_buffers_at_the_counter_is_met_by_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_writes_to_the_counter_pause_while_there_are_no_buffers(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(counter_module, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(Call.SEND, errno.ENOBUFS, times=FOR_GOOD))
+        faults = inject_faults(monkeypatch, Fault(Call.SEND, errno.ENOBUFS, times=FOREVER))
         peer = await scripted(echoing)
-        made, told = counter(peer.address, 80 * MS)
+        counter_client, answers = counter(peer.address, 80 * MS)
         for number in range(20):
-            made.call(counted(number))
-        await until(lambda: len(told) == 20)
-        assert {answer.status for answer in told} == {
+            counter_client.call(counter_call(number))
+        await until(lambda: len(answers) == 20)
+        assert {answer.status for answer in answers} == {
             interface.Status.DIAL_FAILED
-        }  # not written: nothing added
+        }  # not written, so nothing was added
         assert faults.call_counts[Call.SEND] == 1
 
     run(scenario())
 
 
 @pytest.mark.parametrize("first", [1, 3])
-@pytest.mark.parametrize("code", [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM], ids=shown)
-def test_answers_of_the_counter_are_read_past_what_lasts_for_a_moment(
+@pytest.mark.parametrize("code", [errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM], ids=parameter_id)
+def test_reading_counter_answers_continues_after_a_temporary_error(
     code: int, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        injected(monkeypatch, Fault(Call.RECV, code, first=first), max_received=3)
+        inject_faults(monkeypatch, Fault(Call.RECV, code, first=first), max_received=3)
         peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        counter_client, answers = counter(peer.address)
         for number in range(20):
-            made.call(counted(number, number + 0.5))
-        await until(lambda: len(told) == 20)
-        assert [answer.total for answer in told] == [number + 0.5 for number in range(20)]
-        assert {answer.status for answer in told} == {interface.Status.DELIVERED}
+            counter_client.call(counter_call(number, number + 0.5))
+        await until(lambda: len(answers) == 20)
+        assert [answer.total for answer in answers] == [number + 0.5 for number in range(20)]
+        assert {answer.status for answer in answers} == {interface.Status.DELIVERED}
         assert peer.connections == 1
 
     run(scenario())
 
 
-BROKEN = [errno.EPIPE, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH]
+BROKEN_CONNECTION = [errno.EPIPE, errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH]
 
 
-@pytest.mark.parametrize("code", BROKEN, ids=shown)
-def test_a_connection_to_the_counter_that_breaks_in_a_line_tells_each_call_what_it_proves(
+@pytest.mark.parametrize("code", BROKEN_CONNECTION, ids=parameter_id)
+def test_after_a_broken_write_to_the_counter_only_fully_written_calls_may_have_been_added(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        line = len(counted_line())
-        injected(monkeypatch, Fault(Call.SEND, code, first=2), max_sent=line + line // 2)
+        line = len(call_line())
+        inject_faults(monkeypatch, Fault(Call.SEND, code, first=2), max_sent=line + line // 2)
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
         peer = await scripted(script)
-        made, told = counter(peer.address)
-        made.call(counted(1))
-        made.call(counted(2))
-        await until(lambda: len(told) == 2)
-        assert [answer.status for answer in told] == [interface.Status.EXPIRED, interface.Status.DIAL_FAILED]
+        counter_client, answers = counter(peer.address)
+        counter_client.call(counter_call(1))
+        counter_client.call(counter_call(2))
+        await until(lambda: len(answers) == 2)
+        assert [answer.status for answer in answers] == [
+            interface.Status.EXPIRED,
+            interface.Status.DIAL_FAILED,
+        ]
 
     run(scenario())
 
 
-def counted_line() -> bytes:
+def call_line() -> bytes:
     return b"bump 1 1.0000000 60000\r\n"
 
 
-@pytest.mark.parametrize("code", [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=shown)
-def test_a_connection_to_the_counter_that_breaks_under_calls_may_have_added_them(
+@pytest.mark.parametrize("code", [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH], ids=parameter_id)
+def test_after_a_broken_read_from_the_counter_calls_may_have_been_added(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(Call.RECV, code))
+        faults = inject_faults(monkeypatch, Fault(Call.RECV, code))
         peer = await scripted(echoing)
-        made, told = counter(peer.address)
-        made.call(counted(1))
-        await until(lambda: bool(told))
-        assert told[0].status is interface.Status.EXPIRED
+        counter_client, answers = counter(peer.address)
+        counter_client.call(counter_call(1))
+        await until(lambda: bool(answers))
+        assert answers[0].status is interface.Status.EXPIRED
         assert faults.all_closed()
 
     run(scenario())
 
 
-def test_a_call_that_was_told_as_not_added_is_not_written_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A call given up while its connection was coming up, or while nothing could be written, counted as one
-    # that adds nothing, and was written and added all the same once the connection could carry it.
+def test_a_call_reported_as_not_added_is_not_written_later(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A call that timed out while its connection was being established, or before anything could be written,
+    # counter_call as not added; it was once written and added all the same when the connection was ready.
     async def scenario() -> None:
-        faults = injected(monkeypatch, Fault(Call.SEND, errno.EAGAIN, times=FOR_GOOD))
+        faults = inject_faults(monkeypatch, Fault(Call.SEND, errno.EAGAIN, times=FOREVER))
         peer = await scripted(echoing)
-        made, told = counter(peer.address, 80 * MS)
-        made.call(counted(1))
-        made.call(counted(2))
-        await until(lambda: len(told) == 2)
-        assert {answer.status for answer in told} == {interface.Status.DIAL_FAILED}
-        made._wait_s = 20.0
+        counter_client, answers = counter(peer.address, 80 * MS)
+        counter_client.call(counter_call(1))
+        counter_client.call(counter_call(2))
+        await until(lambda: len(answers) == 2)
+        assert {answer.status for answer in answers} == {interface.Status.DIAL_FAILED}
+        counter_client._wait_s = 20.0
         faults.replace_faults([])
-        made.call(counted(3))
-        await until(lambda: len(told) == 3)
-        assert told[2].status is interface.Status.DELIVERED
+        counter_client.call(counter_call(3))
+        await until(lambda: len(answers) == 3)
+        assert answers[2].status is interface.Status.DELIVERED
         assert [line.split()[1] for line in peer.requests] == [b"3"]
         assert peer.connections == 1
 
     run(scenario())
 
 
-def test_a_call_that_is_written_in_part_may_yet_be_added(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Given up in the middle of its line it counted as one that adds nothing, and the rest was written later.
+def test_a_partly_written_call_counts_as_possibly_added(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A call that timed out in the middle of its line once counter_call as not added, and its rest was written
+    # later.
     async def scenario() -> None:
-        half = len(counted_line()) // 2
-        fault = Fault(Call.SEND, errno.EAGAIN, first=2, times=FOR_GOOD)
-        faults = injected(monkeypatch, fault, max_sent=half)
+        half = len(call_line()) // 2
+        fault = Fault(Call.SEND, errno.EAGAIN, first=2, times=FOREVER)
+        faults = inject_faults(monkeypatch, fault, max_sent=half)
         peer = await scripted(echoing)
-        made, told = counter(peer.address, 80 * MS)
+        counter_client, answers = counter(peer.address, 80 * MS)
         for number in (1, 2):
-            made.call(counted(number))
-        await until(lambda: len(told) == 2)
-        assert {answer.name: answer.status for answer in told} == {
+            counter_client.call(counter_call(number))
+        await until(lambda: len(answers) == 2)
+        assert {answer.name: answer.status for answer in answers} == {
             1: interface.Status.EXPIRED,
             2: interface.Status.DIAL_FAILED,
         }
-        made._wait_s = 20.0
+        counter_client._wait_s = 20.0
         faults.replace_faults([])
-        made.call(counted(3))
-        await until(lambda: len(told) == 3)
-        assert (told[2].name, told[2].status) == (3, interface.Status.DELIVERED)
+        counter_client.call(counter_call(3))
+        await until(lambda: len(answers) == 3)
+        assert (answers[2].name, answers[2].status) == (3, interface.Status.DELIVERED)
         assert [line.split()[1] for line in peer.requests] == [b"1", b"3"]
 
     run(scenario())
@@ -928,7 +945,7 @@
 
 @pytest.fixture
 def pauses(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """The pauses between the calls of discovery, none of which is waited out."""
+    """Records the pauses between calls of discovery instead of waiting for them."""
     taken: list[float] = []
 
     async def pause(seconds: float) -> None:
@@ -939,8 +956,8 @@
     return taken
 
 
-def dials_that_fail(monkeypatch: pytest.MonkeyPatch, code: int, times: int) -> None:
-    """The first dials of any asyncio stream."""
+def fail_first_connects(monkeypatch: pytest.MonkeyPatch, code: int, times: int) -> None:
+    """Make the first connects of asyncio streams fail."""
     dial_stream, left = asyncio.open_connection, [times]
 
     async def dial(*arguments: Any) -> tuple[Reader, Writer]:
@@ -952,8 +969,8 @@
     monkeypatch.setattr(asyncio, "open_connection", dial)
 
 
-def first_reads_that_fail(monkeypatch: pytest.MonkeyPatch, code: int, times: int) -> None:
-    """The first connections of any asyncio stream come up, and break at the first read."""
+def fail_first_reads(monkeypatch: pytest.MonkeyPatch, code: int, times: int) -> None:
+    """Make the first connections of asyncio streams fail at the first read."""
     dial_stream, left = asyncio.open_connection, [times]
 
     async def dial(*arguments: Any) -> tuple[Reader, Writer]:
@@ -966,7 +983,7 @@
     monkeypatch.setattr(asyncio, "open_connection", dial)
 
 
-WHOLE = [line(listing(entry("a", ("127.0.0.1", 1)), index=9))]
+FULL_LIST = [line(listing(entry("a", ("127.0.0.1", 1)), index=9))]
 
 
 @pytest.mark.parametrize(
@@ -975,9 +992,9 @@
         *(errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EAGAIN),
         *(errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED),
     ],
-    ids=shown,
+    ids=parameter_id,
 )
-def test_a_watch_whose_dial_fails_is_opened_with_the_first_that_does_not(
+def test_a_watch_is_opened_by_the_first_connect_that_succeeds(
     code: int,
     pauses: list[float],
     monkeypatch: pytest.MonkeyPatch,
@@ -986,9 +1003,9 @@
     caplog.set_level(logging.INFO)
 
     async def scenario() -> None:
-        dials_that_fail(monkeypatch, code, times=200)
-        peer, told = await watching(WHOLE)
-        await until(lambda: bool(told))
+        fail_first_connects(monkeypatch, code, times=200)
+        peer, changes = await watching(FULL_LIST)
+        await until(lambda: bool(changes))
         assert len(pauses) == 200
         assert all(0.5 <= seconds / discovery.REOPEN_DELAY_S <= 1.5 for seconds in pauses)
         assert peer.connections == 1
@@ -1000,15 +1017,15 @@
     assert f"[Errno {code}]" in said
 
 
-@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE], ids=shown)
-def test_a_call_of_discovery_that_a_shortage_ends_is_no_refusal(
+@pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM, errno.EMFILE, errno.ENFILE], ids=parameter_id)
+def test_a_discovery_call_ended_by_a_local_shortage_is_not_a_refusal(
     code: int, pauses: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It was taken for a crowd at discovery: pauses grew to 3 s, as after calls that are turned away.
+    # It once counter_call as overload of discovery: pauses grew to 3 s, as after refused calls.
     async def scenario() -> None:
-        first_reads_that_fail(monkeypatch, code, times=20)
-        peer, told = await watching(*([[]] * 20), WHOLE)
-        await until(lambda: bool(told))
+        fail_first_reads(monkeypatch, code, times=20)
+        peer, changes = await watching(*([[]] * 20), FULL_LIST)
+        await until(lambda: bool(changes))
         assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert peer.task is not None
         peer.task.cancel()
@@ -1019,16 +1036,16 @@
 @pytest.mark.parametrize(
     ("code", "crowded"),
     [(errno.ECONNRESET, True), (errno.EHOSTUNREACH, True), (errno.ETIMEDOUT, False)],
-    ids=shown,
+    ids=parameter_id,
 )
-def test_a_call_of_discovery_that_breaks_before_its_answer_is_a_refusal_unless_nobody_heard_it(
+def test_a_discovery_call_broken_before_its_answer_is_a_refusal_unless_it_timed_out(
     code: int, crowded: bool, pauses: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # ETIMEDOUT: nobody has acknowledged the call, which is silence and no crowd.
+    # After ETIMEDOUT nothing has acknowledged the call, so discovery is silent and not overloaded.
     async def scenario() -> None:
-        first_reads_that_fail(monkeypatch, code, times=20)
-        peer, told = await watching(*([[]] * 20), WHOLE)
-        await until(lambda: bool(told))
+        fail_first_reads(monkeypatch, code, times=20)
+        peer, changes = await watching(*([[]] * 20), FULL_LIST)
+        await until(lambda: bool(changes))
         least = 0.5 * discovery.MAX_REFUSED_DELAY_S if crowded else 0.0
         assert least <= max(pauses)
         assert max(pauses) <= (discovery.MAX_REFUSED_DELAY_S if crowded else 1.5 * discovery.REOPEN_DELAY_S)
@@ -1038,7 +1055,7 @@
     run(scenario())
 
 
-SWEPT = [
+ALL_FAULTS = [
     *((Call.SOCKET, code) for code in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)),
     *((Call.SETSOCKOPT, code) for code in (errno.EINVAL, errno.ENOBUFS)),
     *((Call.CONNECT, code) for code in (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ECONNREFUSED)),
@@ -1052,31 +1069,31 @@
 ]
 
 
-@pytest.mark.parametrize(("call", "code"), SWEPT, ids=shown)
-def test_each_request_has_one_answer_and_no_second_run_whichever_call_fails(
+@pytest.mark.parametrize(("call", "code"), ALL_FAULTS, ids=parameter_id)
+def test_each_request_gets_one_answer_and_runs_once_whichever_system_call_fails(
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The same fault at each of the first calls of its kind, in turn, over all of a gateway's own sockets.
-    # A newcomer may be closed for room after its grace, which a busy machine may use up; here nobody is.
+    # Each of the first system calls of a kind fails in turn, over all sockets of a gateway.  On a busy
+    # machine a new client may outlast its grace period and be closed to make room; that is switched off here.
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 1 << 62)
 
     async def scenario() -> None:
-        one, two, told = await answering(OK), await answering(OK), await scripted(echoing)
+        one, two, counter_peer = await answering(OK), await answering(OK), await scripted(echoing)
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 2_000_000_000}
-        made = gateway(
+        gw = gateway(
             one.address,
             two.address,
-            counter=f"127.0.0.1:{told.address[1]}",
+            counter=f"127.0.0.1:{counter_peer.address[1]}",
             settings=SETTINGS | {"specifics": specifics},
         )
-        faults = listening(monkeypatch, made)
-        faults.max_sent, faults.max_received = 40, 40  # some calls to each message
+        faults = inject_into_listener(monkeypatch, gw)
+        faults.max_sent, faults.max_received = 40, 40  # several system calls for each message
         monkeypatch.setattr(dial, "socket", faults)
         for first in range(1, 9):
-            made.backends.close()  # connections are made anew
-            made.backends._idle.clear()
+            gw.backends.close()  # so that connections are opened again
+            gw.backends._idle.clear()
             faults.replace_faults([Fault(call, code, first=first, times=2)])
-            clients = [await Client.to(made) for _ in range(3)]
+            clients = [await Client.to(gw) for _ in range(3)]
             kinds = [ask("post", X_Contract="small"), ask("post"), ask()]
             for client, asked in zip(clients, kinds, strict=True):
                 client.writer.write(asked)
@@ -1086,14 +1103,14 @@
                 assert status in (200, 502) or b"Retry-After" in head
             for client in clients:
                 client.writer.close()
-            await until(lambda: not made.frontend.clients.open)
+            await until(lambda: not gw.frontend.clients.open)
         posts = [message for message in one.requests + two.requests if message.startswith(b"POST")]
         ids = [re.findall(rb"X-Correlation-Id: (\w+)", message)[0] for message in posts]
         assert len(ids) == len(set(ids))
         faults.replace_faults([])
         assert faults.fault_counts[call]
-        made.runtime._policy.servers.backends.clear()  # what was learned of the servers, rightly or not
-        made.runtime.update_servers(change_from(listing(entry("s9", one.address))))
-        assert (await (await Client.to(made)).send(ask("post")))[0] == 200
+        gw.runtime._policy.servers.backends.clear()  # forget what was learned of the servers
+        gw.runtime.update_servers(change_from(listing(entry("s9", one.address))))
+        assert (await (await Client.to(gw)).send(ask("post")))[0] == 200
 
     run(scenario())
