--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -23,7 +23,7 @@
 Writer: TypeAlias = asyncio.StreamWriter
 Handler = Callable[[Reader, Writer], Awaitable[None]]
 
-PATIENCE_S = 30.0  # for the whole of a test: only a failure waits so long
+TEST_TIMEOUT_S = 30.0  # for the whole of a test: only a failure waits so long
 BODY = b'{"balance": 7}'
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 NOT_RUN = b"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -55,7 +55,7 @@
     """Play a scenario on the loop that the gateway uses."""
 
     async def bounded() -> T:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await scenario
 
     return uvloop.run(bounded())
@@ -136,7 +136,7 @@
             writer.close()
 
 
-async def answering(*answers: bytes) -> Peer:
+async def answering_server(*answers: bytes) -> Peer:
     """A server that gives these answers in turn, the last one again and again; empty: it just hangs up."""
     left = list(answers)
 
@@ -151,7 +151,7 @@
     return await Peer(script).start()
 
 
-async def silent() -> Peer:
+async def silent_server() -> Peer:
     """A server that reads and never answers; it notes the end of each connection."""
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
@@ -174,7 +174,7 @@
 _serial = iter(range(1, 1 << 30))
 
 
-def ask(kind: str = "look", left: str = "2.000", body: bytes = b"", **changes: str | None) -> bytes:
+def build_request(kind: str = "look", left: str = "2.000", body: bytes = b"", **changes: str | None) -> bytes:
     """A client's request; ``changes`` name headers with _ for -, none leaves one out."""
     headers: dict[str, str | None] = {
         "Host": "service.internal",
@@ -252,7 +252,7 @@
 
     def wait(self) -> int:
         """Wait for its end; the exit code."""
-        return self._process.wait(PATIENCE_S)
+        return self._process.wait(TEST_TIMEOUT_S)
 
     def exit_code(self) -> int | None:
         """None while it runs."""
@@ -279,7 +279,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     """Let the loop turn until something holds; the test's time bounds it."""
     while not holds():
         await asyncio.sleep(0.002)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,7 +9,18 @@
 from gingerworks.gateway.discovery import Change, change_from
 from gingerworks.gateway.requests import RequestValidator
 from gingerworks.policy import Policy
-from tests.loopback import OK, Client, answering, ask, entry, gateway, listing, raw_config, run, until
+from tests.loopback import (
+    OK,
+    Client,
+    answering_server,
+    build_request,
+    entry,
+    gateway,
+    listing,
+    raw_config,
+    run,
+    wait_until,
+)
 from tests.support import MS, outcome, policy_with_servers, request, server
 from tests.support import listing as servers_changed
 
@@ -80,20 +91,20 @@
 def test_connections_of_replaced_servers_and_of_clients_that_left_are_closed() -> None:
     async def scenario() -> None:
         made = gateway()
-        peers = [await answering(OK) for _ in range(6)]
+        peers = [await answering_server(OK) for _ in range(6)]
         for index, peer in enumerate(peers, 1):
             change = backend_list(index, peer.address)
             made.runtime.update_servers(change)
             clients = [await Client.to(made) for _ in range(4)]
-            assert [(await client.send(ask()))[0] for client in clients] == [200] * 4
+            assert [(await client.send(build_request()))[0] for client in clients] == [200] * 4
             for client in clients:
                 client.writer.close()
-        await until(lambda: not made.frontend.clients.open)
+        await wait_until(lambda: not made.frontend.clients.open)
         pools, runtime = made.backends, made.runtime
         assert len(pools._endpoints) == 1
         assert set(pools._idle) <= {"s6"}
         assert {each.endpoint.server.name for each in pools._open} <= {"s6"}
-        await until(lambda: not runtime._in_flight)
+        await wait_until(lambda: not runtime._in_flight)
         table = made.frontend.clients
         assert not any((table.new, table.idle, table.closing, table.evicted))
         assert made.frontend._held_body_bytes == 0
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -25,14 +25,14 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     closed_port,
     gateway,
     read_message,
     run,
-    silent,
-    until,
+    silent_server,
+    wait_until,
 )
 from tests.test_gateway_clients import held_server
 
@@ -57,8 +57,8 @@
 
 async def request_dropped(gw: Gateway) -> None:
     """Wait until the gateway has noticed the disconnect and keeps nothing of the request."""
-    await until(lambda: not gw.frontend.clients.open)
-    await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
+    await wait_until(lambda: not gw.frontend.clients.open)
+    await wait_until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
 
 
 def hold_connects(monkeypatch: pytest.MonkeyPatch) -> list[Callable[[], None]]:
@@ -88,7 +88,7 @@
             writer.write(b"ok %b\r\n" % line.split()[2])
             await reader.read()
 
-        counter, server = await Peer(script).start(), await answering(OK)
+        counter, server = await Peer(script).start(), await answering_server(OK)
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 20_000_000_000}
         gw = gateway(
             server.address,
@@ -96,10 +96,10 @@
             counter=f"{counter.address[0]}:{counter.address[1]}",
         )
         client = await Client.to(gw)
-        client.writer.write(ask(X_Contract="small", X_Metering="units=6,spread=3,first=1"))
+        client.writer.write(build_request(X_Contract="small", X_Metering="units=6,spread=3,first=1"))
         await called.wait()
         disconnect(client)
-        await until(lambda: not gw.frontend.clients.open)
+        await wait_until(lambda: not gw.frontend.clients.open)
         release.set()
         await request_dropped(gw)
         assert server.connections == 0
@@ -115,14 +115,14 @@
     held_connects = hold_connects(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         limits = SETTINGS["limits"] | {"may-cancel": may_cancel}
         gw = gateway(server.address, settings=SETTINGS | {"limits": limits})
         client = await Client.to(gw)
-        client.writer.write(ask("post"))
-        await until(lambda: bool(held_connects))
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: bool(held_connects))
         disconnect(client)
-        await until(lambda: not gw.frontend.clients.open)
+        await wait_until(lambda: not gw.frontend.clients.open)
         await asyncio.sleep(0)
         if gw.backends._open:  # not cancelled: it opens, and the attempt must not start
             held_connects[0]()
@@ -148,7 +148,7 @@
         server = await Peer(script).start()
         gw = gateway(server.address, server.address)
         client = await Client.to(gw)
-        client.writer.write(ask("post"))
+        client.writer.write(build_request("post"))
         await first_sent.wait()
         release.set()
         disconnect(client)
@@ -163,7 +163,7 @@
     disconnect: Disconnect, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
         submit: Any = gw.runtime.submit
@@ -174,8 +174,8 @@
             return number
 
         monkeypatch.setattr(gw.runtime, "submit", submit_and_cancel)
-        client.writer.write(ask("post"))
-        await until(lambda: gw.runtime._last_request_id == 1 and not gw.runtime._in_flight)
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: gw.runtime._last_request_id == 1 and not gw.runtime._in_flight)
         disconnect(client)
         await request_dropped(gw)
         assert server.requests == []
@@ -186,14 +186,14 @@
 @disconnects
 def test_disconnect_during_an_attempt_closes_the_server_connection(disconnect: Disconnect) -> None:
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask("post"))
-        await until(lambda: len(server.requests) == 1)
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: len(server.requests) == 1)
         disconnect(client)
         await request_dropped(gw)
-        await until(lambda: server.requests[1:] == [b""])
+        await wait_until(lambda: server.requests[1:] == [b""])
 
     run(scenario())
 
@@ -206,16 +206,16 @@
     monkeypatch.setattr(frontend, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(b"".join(ask("post") for _ in range(8)))
-        await until(
+        client.writer.write(b"".join(build_request("post") for _ in range(8)))
+        await wait_until(
             lambda: any(c.reading_paused for c in gw.frontend.clients.open) and len(server.requests) == 1
         )
         disconnect(client)
         await request_dropped(gw)
-        await until(lambda: server.requests[1:] == [b""])
+        await wait_until(lambda: server.requests[1:] == [b""])
 
     run(scenario())
 
@@ -230,13 +230,13 @@
         server, release = await held_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(b"".join(ask("post") for _ in range(8)))
-        await until(
+        client.writer.write(b"".join(build_request("post") for _ in range(8)))
+        await wait_until(
             lambda: any(c.reading_paused for c in gw.frontend.clients.open) and len(server.requests) == 1
         )
         disconnect(client)
         (connection,) = gw.frontend.clients.open
-        await until(connection.has_abandoned_request)
+        await wait_until(connection.has_abandoned_request)
         release.set()
         await request_dropped(gw)
         assert len(server.requests) == 1
@@ -248,15 +248,15 @@
 def test_disconnect_in_the_backlog_prevents_the_attempt(disconnect: Disconnect) -> None:
     # At the first read the request and the disconnect are both there, but the latter is read a turn later.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         gw.frontend._unwatch_listener()
         client = await Client.to(gw)
-        client.writer.write(ask("post"))
+        client.writer.write(build_request("post"))
         disconnect(client)
         await asyncio.sleep(0.01)
         gw.frontend._watch_listener()
-        await until(lambda: gw.runtime._last_request_id == 1 or disconnect is reset)
+        await wait_until(lambda: gw.runtime._last_request_id == 1 or disconnect is reset)
         await request_dropped(gw)
         assert server.connections == 0
         assert not gw.backends._open
@@ -271,12 +271,12 @@
     held_connects = hold_connects(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         sock = socket.create_connection(gw.frontend.address)
         client = Client(*await asyncio.open_connection(sock=sock))
-        client.writer.write(ask("post"))
-        await until(lambda: bool(held_connects))
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: bool(held_connects))
         (connection,) = gw.frontend.clients.open
         assert connection.transport is not None
         connection.transport.pause_reading()  # the disconnect stays unread, as in a turn with much other work
@@ -312,14 +312,14 @@
         check_timeouts: Any = gw.frontend._check_timeouts
         monkeypatch.setattr(gw.frontend, "_check_timeouts", lambda: None)
         client = await Client.to(gw)
-        client.writer.write(ask("post") + pipelined)
-        await until(
+        client.writer.write(build_request("post") + pipelined)
+        await wait_until(
             lambda: any(c.reading_paused for c in gw.frontend.clients.open) and len(server.requests) == 1
         )
         disconnect(client)
         await asyncio.sleep(0.01)
         release.set()
-        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
+        await wait_until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         assert len(server.requests) == 1
         check_timeouts()
         await request_dropped(gw)
@@ -361,7 +361,7 @@
 ) -> None:
     # One counter answer admits several requests, while the disconnects of all their clients are unread.
     async def scenario() -> None:
-        (counter, called, release), server = await held_counter(), await answering(OK)
+        (counter, called, release), server = await held_counter(), await answering_server(OK)
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 20_000_000_000}
         tariffs = [SETTINGS["tariffs"][0], SETTINGS["tariffs"][1] | {"most-at-once": 60.0}]
         gw = gateway(
@@ -371,16 +371,16 @@
         )
         clients = [await Client.to(gw) for _ in range(8)]
         for client in clients:
-            client.writer.write(ask(X_Contract="small", X_Metering="units=6,spread=30,first=1"))
+            client.writer.write(build_request(X_Contract="small", X_Metering="units=6,spread=30,first=1"))
         await called.wait()
-        await until(lambda: len(gw.runtime._in_flight) == len(clients))
+        await wait_until(lambda: len(gw.runtime._in_flight) == len(clients))
         if shutting_down:
             gw.frontend.begin_shutdown()
         connections = pause_all_reading(gw)
         for client in clients:
             disconnect(client)
         release.set()
-        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
+        await wait_until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         resume_all_reading(connections)
         await request_dropped(gw)
         assert server.connections == 0
@@ -419,9 +419,9 @@
     disconnect: Callable[[BlockingClient], None],
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
-        client = BlockingClient(gw, ask("post"))
+        client = BlockingClient(gw, build_request("post"))
         assign = gw.runtime._action_handlers[interface.Assign]
 
         def disconnect_first(action: interface.Assign) -> None:
@@ -429,7 +429,7 @@
             assign(action)
 
         gw.runtime._action_handlers[interface.Assign] = disconnect_first
-        await until(lambda: gw.runtime._last_request_id == 1)
+        await wait_until(lambda: gw.runtime._last_request_id == 1)
         await request_dropped(gw)
         assert server.connections == 0
 
@@ -441,9 +441,9 @@
     disconnect: Callable[[BlockingClient], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        server = await answering(NOT_RUN)
+        server = await answering_server(NOT_RUN)
         gw = gateway(server.address, server.address)
-        clients = [BlockingClient(gw, ask("post"))]
+        clients = [BlockingClient(gw, build_request("post"))]
         ended: Any = gw.runtime._attempt_ended
 
         def disconnect_first(*arguments: Any) -> None:
@@ -452,7 +452,7 @@
             ended(*arguments)
 
         monkeypatch.setattr(gw.runtime, "_attempt_ended", disconnect_first)
-        await until(lambda: gw.runtime._last_request_id == 1)
+        await wait_until(lambda: gw.runtime._last_request_id == 1)
         await request_dropped(gw)
         assert len(server.requests) == 1
 
@@ -472,9 +472,9 @@
         gw = gateway(server.address, limits={"sockets": 64})
         clients_in_table = [await Client.to(gw) for _ in range(gw.frontend.clients.budget)]
         for client in clients_in_table:
-            client.writer.write(ask("post"))
-        await until(lambda: len(server.requests) == len(clients_in_table))
-        late = BlockingClient(gw, ask("post"))
+            client.writer.write(build_request("post"))
+        await wait_until(lambda: len(server.requests) == len(clients_in_table))
+        late = BlockingClient(gw, build_request("post"))
         disconnect(late)
         if shutting_down:
             gw.frontend.begin_shutdown()
@@ -482,7 +482,7 @@
         for client in clients_in_table:
             assert (await client.answer())[0] == 200
             client.writer.close()
-        await until(
+        await wait_until(
             lambda: (
                 gw.runtime._last_request_id == len(clients_in_table) + 1 or disconnect is BlockingClient.reset
             )
@@ -528,11 +528,11 @@
         gw = gateway(server.address, server.address, settings=SETTINGS | {"limits": limits})
         client = await Client.to(gw)
         for _ in range(FAST_ANSWERS):
-            assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 200
         client.writer.close()
-        late = BlockingClient(gw, ask())
+        late = BlockingClient(gw, build_request())
         assigned_actions = run_before_assign(gw, 2, lambda: disconnect(late))
-        await until(lambda: len(server.requests) == FAST_ANSWERS + 1)
+        await wait_until(lambda: len(server.requests) == FAST_ANSWERS + 1)
         if shutting_down:
             gw.frontend.begin_shutdown()
         await request_dropped(gw)
@@ -549,12 +549,12 @@
     held_connects = hold_connects(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(NOT_RUN)
+        server = await answering_server(NOT_RUN)
         gw = gateway(server.address, server.address)
-        client = BlockingClient(gw, ask("post"))
-        await until(lambda: bool(held_connects))
+        client = BlockingClient(gw, build_request("post"))
+        await wait_until(lambda: bool(held_connects))
         held_connects.pop()()
-        await until(lambda: bool(held_connects))
+        await wait_until(lambda: bool(held_connects))
         connections = pause_all_reading(gw)
         disconnect(client)
         held_connects.pop()()  # in the same loop turn as the disconnect
@@ -569,7 +569,7 @@
     """Send until the kernel's buffers of a paused connection are full."""
     sock.setblocking(False)
     sock.send(pipelined * 1000)
-    await until(lambda: any(client.reading_paused for client in gw.frontend.clients.open))
+    await wait_until(lambda: any(client.reading_paused for client in gw.frontend.clients.open))
     with contextlib.suppress(BlockingIOError):
         while True:
             sock.send(pipelined * 1000)
@@ -592,12 +592,12 @@
 
         server = await Peer(script).start()
         gw = gateway(server.address, server.address)
-        client = BlockingClient(gw, ask("post"))
-        await until(lambda: len(server.requests) == 1)
+        client = BlockingClient(gw, build_request("post"))
+        await wait_until(lambda: len(server.requests) == 1)
         await fill_receive_buffer(gw, client.socket, pipelined)
         disconnect(client)
         release.set()
-        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
+        await wait_until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
         assert len(server.requests) == 1
 
     run(scenario())
@@ -616,7 +616,7 @@
             return len(checks) > 2  # the first attempt checks at most twice
 
         monkeypatch.setattr(ClientConnection, "disconnect_may_be_hidden", hidden)
-        status, head, _ = await (await Client.to(gw)).send(ask("post"))
+        status, head, _ = await (await Client.to(gw)).send(build_request("post"))
         assert len(checks) > 2
         assert status == 429
         assert b"Retry-After" in head
@@ -643,13 +643,13 @@
         gw = gateway(server.address, server.address)
         client = await Client.to(gw)
         for _ in range(FAST_ANSWERS):
-            assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 200
         client.writer.close()
-        late = BlockingClient(gw, ask())
-        await until(lambda: len(server.requests) == FAST_ANSWERS + 1)
+        late = BlockingClient(gw, build_request())
+        await wait_until(lambda: len(server.requests) == FAST_ANSWERS + 1)
         assigned_actions = run_before_assign(gw, 2, lambda: None)
         await fill_receive_buffer(gw, late.socket, b"\x00" * 40)
-        await until(lambda: len(assigned_actions) == 1)  # the decision module asked for a hedge
+        await wait_until(lambda: len(assigned_actions) == 1)  # the decision module asked for a hedge
         release.set()
         assert (await asyncio.get_running_loop().sock_recv(late.socket, 12)) == b"HTTP/1.1 200"
         assert len(server.requests) == FAST_ANSWERS + 1
@@ -660,14 +660,14 @@
 
 def test_every_request_of_a_client_that_pipelines_and_stays_is_answered() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client, count = await Client.to(gw), 600
-        client.writer.write(b"".join(ask("post") for _ in range(count)))
+        client.writer.write(b"".join(build_request("post") for _ in range(count)))
         statuses = [(await client.answer())[0] for _ in range(count)]
         assert set(statuses) <= {200, 429}  # 429 while a disconnect would have been hidden
         assert statuses.count(200) == len(server.requests)
         assert statuses[-1] == 200
-        assert (await client.send(ask("post")))[0] == 200
+        assert (await client.send(build_request("post")))[0] == 200
 
     run(scenario())
--- a/tests/test_early_reload.py
+++ b/tests/test_early_reload.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from subprocess import Popen
 
-from tests.loopback import Peer, entry, raw_config, run, until
+from tests.loopback import Peer, entry, raw_config, run, wait_until
 from tests.test_gateway_reload import at, discovery
 
 ROOT = Path(__file__).parent.parent
@@ -55,7 +55,7 @@
             process.send_signal(signal.SIGHUP)
             os.write(reading, json.dumps(raw_config()).encode())
             os.close(reading)
-            await until(lambda: bool(new.requests))
+            await wait_until(lambda: bool(new.requests))
             assert new.requests[0] == b"/catalog/members?follow=1&since=0"
         finally:
             process.kill()
@@ -72,7 +72,7 @@
         (tmp_path / "sitecustomize.py").write_text(STARTS_WITH_SIGHUP)
         process = deployed(file, PYTHONPATH=str(tmp_path))
         try:
-            await until(lambda: bool(agent.requests) or process.poll() is not None)
+            await wait_until(lambda: bool(agent.requests) or process.poll() is not None)
             assert process.poll() is None
         finally:
             process.kill()
--- a/tests/test_full_client_table.py
+++ b/tests/test_full_client_table.py
@@ -27,14 +27,14 @@
     Process,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     entry,
     gateway,
     listing,
     raw_config,
     run,
-    until,
+    wait_until,
 )
 from tests.test_gateway_discovery import HEAD, line
 
@@ -63,10 +63,10 @@
 async def fill_table_but_one(gw: Gateway, has_requested: bool) -> list[Client]:
     """Fill the client table up to one place; the clients are idle, or silent if not ``has_requested``."""
     clients = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 1)]
-    await until(lambda: len(gw.frontend.clients.new) == len(clients))
+    await wait_until(lambda: len(gw.frontend.clients.new) == len(clients))
     if has_requested:
         for client in clients:
-            assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 200
     return clients
 
 
@@ -102,7 +102,7 @@
 def test_many_idle_clients_leave_descriptors_for_all_other_connections(tmp_path: Path) -> None:
     # The process runs under a kernel limit on descriptors: whatever exceeds its share fails and is logged.
     async def scenario() -> None:
-        old, new, counter = await answering(OK), await answering(OK), await counter_peer()
+        old, new, counter = await answering_server(OK), await answering_server(OK), await counter_peer()
         discovery_peer = Discovery()
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 2_000_000_000}
         config = raw_config(
@@ -118,7 +118,7 @@
             max_descriptors, clients = 0, []
             for _ in range(300):
                 clients.append(client := await Client.at(process.address))
-                assert (await client.send(ask()))[0] == 200  # idle from now on
+                assert (await client.send(build_request()))[0] == 200  # idle from now on
             clients += [await Client.at(process.address) for _ in range(200)]  # silent
 
             async def keep_connecting() -> None:
@@ -131,20 +131,20 @@
                     await asyncio.sleep(0.001)
 
             connecting = asyncio.ensure_future(keep_connecting())
-            await until(lambda: max_descriptors > SOCKETS // 3)  # the table is full
+            await wait_until(lambda: max_descriptors > SOCKETS // 3)  # the table is full
             # The counter closes its connection and discovery lists another server: both need new connections.
             for writer in counter.writers:
                 writer.close()
             await discovery_peer.listen(entry("s9", new.address))
             while not new.requests:
-                assert (await send_with_reconnects(process, ask()))[0] in (200, 429, 502, 503)
+                assert (await send_with_reconnects(process, build_request()))[0] in (200, 429, 502, 503)
             counted = counter.connections
             while counter.connections == counted:
-                await send_with_reconnects(process, ask(X_Contract="small"))
+                await send_with_reconnects(process, build_request(X_Contract="small"))
             line_count = len(counter.requests)
-            await send_with_reconnects(process, ask(X_Contract="small"))
-            await until(lambda: len(counter.requests) > line_count)
-            assert (await send_with_reconnects(process, ask()))[0] == 200
+            await send_with_reconnects(process, build_request(X_Contract="small"))
+            await wait_until(lambda: len(counter.requests) > line_count)
+            assert (await send_with_reconnects(process, build_request()))[0] == 200
             assert not connecting.done()
             connecting.cancel()
             assert max_descriptors <= SOCKETS
@@ -182,10 +182,10 @@
         gw = gateway(discovery=discovery_peer.address, limits=EIGHT_CLIENTS)
         clients = [await Client.to(gw) for _ in range(40)]
         # After hundreds of refused connects, with a table full of idle clients.
-        await until(lambda: len(pauses) == 500)
+        await wait_until(lambda: len(pauses) == 500)
         await discovery_peer.listen(entry("s9", ("127.0.0.1", 1)))
         back.set()
-        await until(lambda: [s.name for s in gw.backends.servers()] == ["s9"])
+        await wait_until(lambda: [s.name for s in gw.backends.servers()] == ["s9"])
         assert len(pauses) == 500
         assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert len(clients) == 40
@@ -207,9 +207,9 @@
         monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
         gw.frontend.clients.make_room()
         assert not gw.frontend.clients.evicted
-        await until(lambda: all(client.transport is not None for client in gw.frontend.clients.open))
+        await wait_until(lambda: all(client.transport is not None for client in gw.frontend.clients.open))
         gw.frontend.clients.make_room()
-        await until(lambda: not gw.frontend.clients.open)
+        await wait_until(lambda: not gw.frontend.clients.open)
         for sock in socks:
             sock.close()
 
@@ -221,16 +221,16 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits={"sockets": 128})
         idle_clients = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 2)]
         for client in idle_clients:
-            assert (await client.send(ask()))[0] == 200
-        slow, request = await Client.to(gw), ask("post", body=b"a" * 100)
+            assert (await client.send(build_request()))[0] == 200
+        slow, request = await Client.to(gw), build_request("post", body=b"a" * 100)
         slow.writer.write(request[:-50])
-        await until(lambda: any(client.receiving for client in gw.frontend.clients.open))
+        await wait_until(lambda: any(client.receiving for client in gw.frontend.clients.open))
         gw.frontend.clients.make_room()
-        await until(lambda: not gw.frontend.clients.evicted)
+        await wait_until(lambda: not gw.frontend.clients.evicted)
         assert len(gw.frontend.clients.idle) < len(idle_clients)
         assert (await slow.send(request[-50:]))[0] == 200
 
@@ -246,19 +246,21 @@
     monkeypatch.setattr("gingerworks.gateway.client.REQUEST_TIMEOUT_NS", 1 << 62)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits=EIGHT_CLIENTS)
         incomplete = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 1)]
         for client in incomplete:
             if has_requested:
                 assert (await client.send(HEALTH))[0] == 200
         for client in incomplete:
-            client.writer.write(ask()[:30])
-        await until(lambda: sum(client.receiving for client in gw.frontend.clients.open) == len(incomplete))
+            client.writer.write(build_request()[:30])
+        await wait_until(
+            lambda: sum(client.receiving for client in gw.frontend.clients.open) == len(incomplete)
+        )
         for _ in range(2 * gw.frontend.clients.budget):
             incomplete.append(client := await Client.to(gw))
-            assert (await client.send(ask()))[0] == 200
-            client.writer.write(ask()[:30])
+            assert (await client.send(build_request()))[0] == 200
+            client.writer.write(build_request()[:30])
 
     run(scenario())
 
@@ -270,12 +272,14 @@
 
     async def scenario() -> None:
         body = b"a" * 60_000
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        server = await answering_server(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        )
         gw = gateway(server.address, limits=EIGHT_CLIENTS)
         with socket.create_connection(gw.frontend.address) as not_reading:
             for requests in count(1):
-                not_reading.sendall(ask())
-                await until(partial(idle_after, gw, requests))
+                not_reading.sendall(build_request())
+                await wait_until(partial(idle_after, gw, requests))
                 if any(client.has_unsent_output() for client in gw.frontend.clients.idle):
                     break
             idle_clients = []
@@ -294,13 +298,13 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits=EIGHT_CLIENTS)
         clients = await fill_table_but_one(gw, has_requested)
         before = len(server.requests)
         sender = clients[0]  # the first candidate
         sock: socket.socket = sender.writer.get_extra_info("socket")
-        os.write(sock.fileno(), ask())  # in the gateway's kernel buffer before its loop runs again
+        os.write(sock.fileno(), build_request())  # in the gateway's kernel buffer before its loop runs again
         gw.frontend.clients.make_room()
         assert gw.frontend.clients.evicted
         assert (await sender.answer())[0] == 200
@@ -316,19 +320,19 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits=EIGHT_CLIENTS)
         clients = await fill_table_but_one(gw, has_requested)
         before = gw.runtime._last_request_id
         gw.frontend.clients.make_room()
         for client in clients:
             sock: socket.socket = client.writer.get_extra_info("socket")
-            os.write(sock.fileno(), ask())  # after the eviction's check for input, before the close
+            os.write(sock.fileno(), build_request())  # after the eviction's check for input, before the close
         for client in clients:
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await client.answer()
         assert gw.runtime._last_request_id == before
-        assert (await (await Client.to(gw)).send(ask()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
 
     run(scenario())
 
@@ -338,7 +342,9 @@
 ) -> None:
     async def scenario() -> None:
         body = b"a" * 60_000
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        server = await answering_server(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        )
         gw = gateway(server.address, limits=EIGHT_CLIENTS)
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -354,7 +360,7 @@
             gw.frontend.clients.make_room()
 
         monkeypatch.setattr(gw.frontend, "connection_idle", idle_then_make_room)
-        status, _, got = await client.send(ask())
+        status, _, got = await client.send(build_request())
         assert (status, got) == (200, body)
 
     run(scenario())
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -27,16 +27,16 @@
     OK,
     Client,
     Peer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     closed_port,
     entry,
     gateway,
     listing,
     raw_config,
     run,
-    silent,
-    until,
+    silent_server,
+    wait_until,
 )
 
 Results = list[tuple[interface.Status, Answer | None]]
@@ -60,7 +60,7 @@
 def make_attempt(
     results: Results, server: str = "s0", seconds: float = 5.0, request: bytes | None = None
 ) -> Attempt:
-    sent = ask() if request is None else request
+    sent = build_request() if request is None else request
     return Attempt(
         server,
         seconds,
@@ -73,7 +73,7 @@
 async def run_attempt(pool: Backends, **changes: object) -> interface.Status:
     results: Results = []
     pool.start(make_attempt(results, **changes))  # type: ignore[arg-type]
-    await until(lambda: bool(results))
+    await wait_until(lambda: bool(results))
     return results[0][0]
 
 
@@ -111,7 +111,7 @@
 def test_each_ending_gives_the_status_that_it_proves(name: str) -> None:
     async def scenario() -> None:
         answer, status = ENDINGS[name]
-        server = await answering(answer)
+        server = await answering_server(answer)
         assert await run_attempt(make_backends(server.address)) is status
         assert len(server.requests) == 1  # only the policy decides on another attempt
 
@@ -147,7 +147,7 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(answer)
             if resets:
-                await until(lambda: any(connection.received_bytes for connection in pool._open))
+                await wait_until(lambda: any(connection.received_bytes for connection in pool._open))
                 writer.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
                 )
@@ -156,7 +156,7 @@
         server = await Peer(script).start()
         pool, results = make_backends(server.address), Results()
         pool.start(make_attempt(results))
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         status, got = results[0]
         assert status is (interface.Status.DELIVERED if whole and not resets else interface.Status.DROPPED)
         assert (got.body if got else None) == (BODY if whole and not resets else None)
@@ -171,10 +171,10 @@
 @pytest.mark.parametrize("more", [SECOND, b"\x00\x01 noise", SECOND[:30], b"HTTP/1.1 500 Oh\r\n\r\n"])
 def test_data_behind_a_complete_answer_does_not_change_or_invalidate_it(more: bytes) -> None:
     async def scenario() -> None:
-        server = await answering(OK + more)
+        server = await answering_server(OK + more)
         pool, results = make_backends(server.address), Results()
         pool.start(make_attempt(results))
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         status, answer = results[0]
         assert answer is not None
         assert (status, answer.body, answer.billed) == (interface.Status.DELIVERED, BODY, None)
@@ -190,7 +190,7 @@
             await reader.readuntil(b"\r\n\r\n")
             writer.write(OK)
             if peer.connections == 1:
-                await until(lambda: peer.connections == 2)
+                await wait_until(lambda: peer.connections == 2)
                 writer.write(SECOND)
             await reader.read()
 
@@ -205,7 +205,7 @@
         first = make_attempt(results)
         first.on_end = start_second
         pool.start(first)
-        await until(lambda: len(results) == 2)
+        await wait_until(lambda: len(results) == 2)
         assert [answer and answer.body for _, answer in results] == [BODY, BODY]
         assert server.connections == 2
 
@@ -235,11 +235,11 @@
         server = await Peer(script).start()
         pool, results = make_backends(server.address), Results()
         pool.start(make_attempt(results))
-        await until(lambda: len(results) == 1)
+        await wait_until(lambda: len(results) == 1)
         moment += 10 * clock.NS_PER_MS
         pool.start(make_attempt(results))
         second_started.set()
-        await until(lambda: len(results) == 2)
+        await wait_until(lambda: len(results) == 2)
         assert [answer and answer.body for _, answer in results] == [BODY, BODY]
 
     run(scenario())
@@ -250,7 +250,7 @@
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(10)
             writer.write(OK)
-            await until(lambda: False)
+            await wait_until(lambda: False)
 
         server = await Peer(script).start()
         assert (
@@ -313,7 +313,7 @@
         async def script(peer: Peer, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             if peer.connections == 1:
-                await until(lambda: peer.connections == 2)
+                await wait_until(lambda: peer.connections == 2)
                 writer.write(OK)
             await reader.read()
 
@@ -323,9 +323,9 @@
         two: Results = []
         pool.start(make_attempt(one))
         pool.start(make_attempt(two, seconds=1.0))
-        await until(lambda: bool(one))
+        await wait_until(lambda: bool(one))
         assert len(pool._open) == 2
-        await until(lambda: bool(two))
+        await wait_until(lambda: bool(two))
         assert two[0][0] is interface.Status.EXPIRED
         assert len(pool._open) == 0
 
@@ -334,14 +334,14 @@
 
 def test_a_close_that_the_loop_has_not_read_yet_does_not_break_an_attempt() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address)
         assert await run_attempt(pool) is interface.Status.DELIVERED
         (connection,) = pool._open
         assert connection.socket is not None
         pool.loop.remove_reader(connection.socket.fileno())  # as if the loop had not read the close yet
         server.writers[0].close()
-        await until(lambda: _has_closed(connection.socket))
+        await wait_until(lambda: _has_closed(connection.socket))
         assert await run_attempt(pool) is interface.Status.DELIVERED
         assert server.connections == 2
 
@@ -358,11 +358,11 @@
 
 def test_idle_connections_are_closed_well_before_the_servers_close_them() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address, idle_timeout_ns=250_000_000)
         assert await run_attempt(pool) is interface.Status.DELIVERED
         assert len(pool._open) == 1
-        await until(lambda: not pool._open)
+        await wait_until(lambda: not pool._open)
         assert pool._idle_timer is None  # no connection is left to check
 
     run(scenario())
@@ -371,11 +371,11 @@
 def test_idle_connections_are_kept_for_less_long_if_servers_drop_them_silently() -> None:
     # The server closes idle connections only when the next request comes on them, not before.
     async def scenario() -> None:
-        server = await answering(OK, b"")
+        server = await answering_server(OK, b"")
         pool = make_backends(server.address)
         statuses = []
         for _ in range(30):
-            server.script = (await answering(OK, b"")).script
+            server.script = (await answering_server(OK, b"")).script
             statuses.append(await run_attempt(pool))
             for connection in pool._open:
                 connection.idle_since_ns -= 200_000_000
@@ -388,7 +388,7 @@
 @pytest.mark.parametrize("status", ["Gone", "Ready"])
 def test_idle_connections_to_a_process_that_has_ended_are_closed(status: str) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address)
         assert await run_attempt(pool) is interface.Status.DELIVERED
         pool.update_servers(server_change(entry("s0", server.address, status, since_ms=7), snapshot=False))
@@ -400,7 +400,7 @@
 @pytest.mark.parametrize("change", ["Terminating", "Gone", "restarted", "unlisted"])
 def test_a_connecting_attempt_is_not_sent_to_a_server_that_drains_or_goes_meanwhile(change: str) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool, results = make_backends(server.address), Results()
         pool.start(make_attempt(results))
         now = {
@@ -408,9 +408,9 @@
             "unlisted": server_change(),
         }.get(change) or server_change(entry("s0", server.address, change), snapshot=False)
         pool.update_servers(now)
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         assert results[0][0] is interface.Status.DIAL_FAILED
-        await until(lambda: server.connections == 1)
+        await wait_until(lambda: server.connections == 1)
         await asyncio.sleep(0)
         assert server.requests == []
 
@@ -419,12 +419,12 @@
 
 def test_an_attempt_that_may_not_start_is_not_sent() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool, results = make_backends(server.address), Results()
         unwanted = make_attempt(results)
         unwanted.may_start = lambda: False
         pool.start(unwanted)
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         assert results[0][0] is interface.Status.UNUSED
         assert server.requests == []
 
@@ -433,11 +433,11 @@
 
 def test_at_the_connection_limit_the_oldest_idle_connection_is_closed_or_nothing_is_sent() -> None:
     async def scenario() -> None:
-        one, two = await answering(OK), await silent()
+        one, two = await answering_server(OK), await silent_server()
         pool, results = make_backends(one.address, two.address, max_connections=1), Results()
         assert await run_attempt(pool) is interface.Status.DELIVERED
         pool.start(make_attempt(results, "s1"))
-        await until(lambda: len(two.requests) == 1)
+        await wait_until(lambda: len(two.requests) == 1)
         assert len(pool._open) == 1
         assert await run_attempt(pool) is interface.Status.UNUSED  # does not count against the server
 
@@ -446,7 +446,7 @@
 
 def test_without_free_descriptors_nothing_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address)
 
         def none_left(*arguments: object) -> socket.socket:
@@ -480,10 +480,10 @@
 ) -> None:
     async def scenario() -> None:
         extra = b'X-Settled: %b\r\nX-Backend-Load: {"util":0.5,"queue":3,"latency_ms":"x"}\r\n\r\n' % settled
-        server = await answering(OK.replace(b"\r\n\r\n", b"\r\n" + extra))
+        server = await answering_server(OK.replace(b"\r\n\r\n", b"\r\n" + extra))
         results = Results()
         make_backends(server.address).start(make_attempt(results))
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         answer = results[0][1]
         assert answer is not None
         assert (answer.body, answer.billed, answer.report) == (BODY, units, (("util", 0.5),))
@@ -494,11 +494,11 @@
 @pytest.mark.parametrize("first", [b"", MAY_HAVE_RUN, b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"])
 def test_an_unsafe_request_that_may_have_run_is_sent_only_once_and_fails(first: bytes) -> None:
     async def scenario() -> None:
-        one, two = await answering(first), await answering(first)
+        one, two = await answering_server(first), await answering_server(first)
         client = await Client.to(gateway(one.address, two.address))
-        assert (await client.send(ask("post", body=b"x")))[0] == 502
+        assert (await client.send(build_request("post", body=b"x")))[0] == 502
         assert len(one.requests + two.requests) == 1
-        assert (await client.send(ask()))[0] in (429, 503)  # safe to repeat: retried, then refused
+        assert (await client.send(build_request()))[0] in (429, 503)  # safe to repeat: retried, then refused
         assert len(one.requests + two.requests) > 2
 
     run(scenario())
@@ -506,10 +506,10 @@
 
 def test_an_unsafe_request_that_never_ran_is_sent_again() -> None:
     async def scenario() -> None:
-        server = await answering(NOT_RUN, OK)
+        server = await answering_server(NOT_RUN, OK)
         client = await Client.to(gateway(("127.0.0.1", closed_port()), server.address))
         for _ in range(4):
-            assert (await client.send(ask("post", body=b"x")))[0] == 200
+            assert (await client.send(build_request("post", body=b"x")))[0] == 200
 
     run(scenario())
 
@@ -517,7 +517,7 @@
 @pytest.mark.parametrize("change", ["new address", "new name"])
 def test_an_idle_connection_is_not_reused_after_a_change_of_the_servers_address_or_name(change: str) -> None:
     async def scenario() -> None:
-        old, new = await answering(OK), await answering(OK)
+        old, new = await answering_server(OK), await answering_server(OK)
         pool = make_backends(old.address)
         assert await run_attempt(pool) is interface.Status.DELIVERED
         assert len(pool._open) == 1
@@ -532,7 +532,7 @@
             fresh = make_attempt(results)
             fresh.server = "s9"
             pool.start(fresh)
-            await until(lambda: bool(results))
+            await wait_until(lambda: bool(results))
             assert results[0][0] is interface.Status.DELIVERED
             assert old.connections == 2
 
@@ -564,7 +564,7 @@
         pool, results = make_backends(server.address), Results()
         cancelled = make_attempt(results)
         pool.start(cancelled)
-        await until(lambda: bool(held))
+        await wait_until(lambda: bool(held))
         pool.cancel(cancelled)
         await ends.wait()
         assert [status for status, _ in results] == [interface.Status.CANCELLED]
@@ -590,16 +590,16 @@
     monkeypatch.setattr(backend_module, "Dial", DelayedDial)
 
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         pool, results = make_backends(server.address), Results()
         pool.connect_timeout_s = 0.25
         started = clock.now()
         pool.start(make_attempt(results))
-        await until(lambda: bool(held))
+        await wait_until(lambda: bool(held))
         monkeypatch.setattr(clock, "now", lambda: started + 1_000_000_000)
         held.pop()()
         assert [status for status, _ in results] == [interface.Status.DIAL_FAILED]
-        await until(lambda: server.requests == [] or bool(server.requests[0]))
+        await wait_until(lambda: server.requests == [] or bool(server.requests[0]))
         assert server.requests == []
         assert not pool._open
 
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -26,15 +26,15 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     closed_port,
     gateway,
     raw_config,
     read_message,
     run,
-    silent,
-    until,
+    silent_server,
+    wait_until,
 )
 
 
@@ -64,10 +64,10 @@
     monkeypatch.setattr(backend, "MIN_IDLE_BEFORE_REUSE_NS", 0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
         body = bytes(range(256)) * 200
-        request = ask("post", body=body, X_Correlation_Id="00000000000abcde")
+        request = build_request("post", body=body, X_Correlation_Id="00000000000abcde")
         status, _, answer = await client.send(request.replace(b" HTTP/1.1", b"?page=2 HTTP/1.1", 1))
         assert (status, answer) == (200, BODY)
         (sent,) = server.requests
@@ -78,7 +78,7 @@
         assert sent.count(b"X-Time-Left") == 1
         assert 1.0 < left < 2.0
         for _ in range(3):
-            assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 200
         assert server.connections == 1
 
     run(scenario())
@@ -92,9 +92,9 @@
     # Headers with whitespace after their values used to be rejected, which cost a third of the requests of
     # one recorded day.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
-        request = ask("post", body=b"abc", X_Correlation_Id="0000000000012345", X_Repeat="1")
+        request = build_request("post", body=b"abc", X_Correlation_Id="0000000000012345", X_Repeat="1")
         if form == "chunks":
             request = request.replace(b"Content-Length: 3", b"Transfer-Encoding: chunked")
             request = request.replace(b"abc", b"3\r\nabc\r\n0\r\n\r\n")
@@ -112,78 +112,84 @@
 INVALID_REQUESTS: dict[str, tuple[bytes, int]] = {
     "not HTTP": (b"\x16\x03\x01\x02\x00garbage\r\n\r\n", 400),
     "a head without an end": (b"GET / HTTP/1.1\r\n" + b"X-A: " + b"a" * 70_000, 431),
-    "a large body": (ask("post", body=b"a" * 70_000), 413),
-    "a large Content-Length": (ask("post", Content_Length="60000000"), 413),
-    "a negative length": (ask("post", Content_Length="-1"), 400),
-    "a length that is not a number": (ask("post", Content_Length="1_0"), 400),
-    "two lengths": (ask("post").replace(b"\r\n", b"\r\nContent-Length: 3\r\n", 1), 400),
+    "a large body": (build_request("post", body=b"a" * 70_000), 413),
+    "a large Content-Length": (build_request("post", Content_Length="60000000"), 413),
+    "a negative length": (build_request("post", Content_Length="-1"), 400),
+    "a length that is not a number": (build_request("post", Content_Length="1_0"), 400),
+    "two lengths": (build_request("post").replace(b"\r\n", b"\r\nContent-Length: 3\r\n", 1), 400),
     "a length and chunks": (
-        ask("post", body=b"0\r\n\r\n" + ask(), Transfer_Encoding="chunked"),
+        build_request("post", body=b"0\r\n\r\n" + build_request(), Transfer_Encoding="chunked"),
         400,
     ),
     "chunks and a length": (
-        ask("post", Content_Length=None, Transfer_Encoding="chunked").replace(
+        build_request("post", Content_Length=None, Transfer_Encoding="chunked").replace(
             b"\r\n\r\n", b"\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"
         ),
         400,
     ),
-    "an unknown transfer coding and a length": (ask("post", Transfer_Encoding="xchunked"), 400),
+    "an unknown transfer coding and a length": (build_request("post", Transfer_Encoding="xchunked"), 400),
     "an unknown transfer coding": (
-        ask("post", Content_Length=None, Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n",
+        build_request("post", Content_Length=None, Transfer_Encoding="gzip, chunked") + b"0\r\n\r\n",
         400,
     ),
-    "a body on a GET request": (ask(Content_Length="2") + b"ab", 400),
-    "a target beyond ASCII": (ask().replace(b" HTTP", b"?a=\xff HTTP", 1), 400),
-    "another version": (ask().replace(b"HTTP/1.1", b"HTTP/0.9", 1), 400),
-    "two classes": (ask().replace(b"\r\n", b"\r\nx-service-class: post\r\n", 1), 400),
-    "two ids": (ask().replace(b"\r\n", b"\r\nX-Correlation-Id: 7\r\n", 1), 400),
-    "two meterings": (ask().replace(b"\r\n", b"\r\nX-Metering: units=1,spread=3,first=1\r\n", 1), 400),
-    "a deadline with a sign": (ask(left="+1"), 400),
-    "a deadline with an underscore": (ask(left="1_0"), 400),
-    "an id with spaces": (ask(X_Correlation_Id="a b"), 400),
-    "units twice": (ask(X_Metering="units=1,units=2,spread=3,first=1"), 400),
-    "units above the maximum": (ask(X_Metering="units=7,spread=3,first=1"), 400),
-    "units of nan": (ask(X_Metering="units=nan,spread=3,first=1"), 400),
-    "a spread of 0": (ask(X_Metering="units=1,spread=0,first=1"), 400),
-    "a first gateway out of range": (ask(X_Metering="units=1,spread=3,first=3"), 400),
-    "a first gateway below 0": (ask(X_Metering="units=1,spread=3,first=-1"), 400),
-    "no first gateway": (ask(X_Metering="units=1,spread=3"), 400),
-    "an unknown class": (ask("odd"), 404),
-    "a class other than the path's": (ask(X_Service_Class="post"), 400),
-    "a method other than the class's": (ask().replace(b"GET", b"DELETE", 1), 405),
-    "an unknown plan": (ask(X_Contract="odd"), 400),
-    "no deadline": (ask(X_Time_Left=None), 400),
-    "a deadline that is not a number": (ask(left="soon"), 400),
-    "a deadline of nan": (ask(left="nan"), 400),
-    "a negative deadline": (ask(left="-1"), 400),
-    "no id": (ask(X_Correlation_Id=None), 400),
-    "no metering": (ask(X_Metering=None), 400),
-    "units of 0": (ask(X_Metering="units=0,spread=3,first=1"), 400),
-    "a spread over more gateways than there are": (ask(X_Metering="units=1,spread=9,first=1"), 400),
-    "a customer that is not a number": (ask().replace(b"00000000b4d65521", b"00000000b4d6552g", 1), 400),
-    "a customer out of range": (ask().replace(b"00000000b4d65521", b"ffffffffb4d65521", 1), 400),
+    "a body on a GET request": (build_request(Content_Length="2") + b"ab", 400),
+    "a target beyond ASCII": (build_request().replace(b" HTTP", b"?a=\xff HTTP", 1), 400),
+    "another version": (build_request().replace(b"HTTP/1.1", b"HTTP/0.9", 1), 400),
+    "two classes": (build_request().replace(b"\r\n", b"\r\nx-service-class: post\r\n", 1), 400),
+    "two ids": (build_request().replace(b"\r\n", b"\r\nX-Correlation-Id: 7\r\n", 1), 400),
+    "two meterings": (
+        build_request().replace(b"\r\n", b"\r\nX-Metering: units=1,spread=3,first=1\r\n", 1),
+        400,
+    ),
+    "a deadline with a sign": (build_request(left="+1"), 400),
+    "a deadline with an underscore": (build_request(left="1_0"), 400),
+    "an id with spaces": (build_request(X_Correlation_Id="a b"), 400),
+    "units twice": (build_request(X_Metering="units=1,units=2,spread=3,first=1"), 400),
+    "units above the maximum": (build_request(X_Metering="units=7,spread=3,first=1"), 400),
+    "units of nan": (build_request(X_Metering="units=nan,spread=3,first=1"), 400),
+    "a spread of 0": (build_request(X_Metering="units=1,spread=0,first=1"), 400),
+    "a first gateway out of range": (build_request(X_Metering="units=1,spread=3,first=3"), 400),
+    "a first gateway below 0": (build_request(X_Metering="units=1,spread=3,first=-1"), 400),
+    "no first gateway": (build_request(X_Metering="units=1,spread=3"), 400),
+    "an unknown class": (build_request("odd"), 404),
+    "a class other than the path's": (build_request(X_Service_Class="post"), 400),
+    "a method other than the class's": (build_request().replace(b"GET", b"DELETE", 1), 405),
+    "an unknown plan": (build_request(X_Contract="odd"), 400),
+    "no deadline": (build_request(X_Time_Left=None), 400),
+    "a deadline that is not a number": (build_request(left="soon"), 400),
+    "a deadline of nan": (build_request(left="nan"), 400),
+    "a negative deadline": (build_request(left="-1"), 400),
+    "no id": (build_request(X_Correlation_Id=None), 400),
+    "no metering": (build_request(X_Metering=None), 400),
+    "units of 0": (build_request(X_Metering="units=0,spread=3,first=1"), 400),
+    "a spread over more gateways than there are": (build_request(X_Metering="units=1,spread=9,first=1"), 400),
+    "a customer that is not a number": (
+        build_request().replace(b"00000000b4d65521", b"00000000b4d6552g", 1),
+        400,
+    ),
+    "a customer out of range": (build_request().replace(b"00000000b4d65521", b"ffffffffb4d65521", 1), 400),
 }
 
 
 @pytest.mark.parametrize("what", INVALID_REQUESTS)
 def test_invalid_request_is_rejected_with_its_status_and_not_forwarded(what: str) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
         assert (await client.send(INVALID_REQUESTS[what][0]))[0] == INVALID_REQUESTS[what][1]
         assert await client.reader.read() == b""  # a further request needs a new connection
         assert server.requests == []
-        assert (await (await Client.to(gw)).send(ask()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
 
     run(scenario())
 
 
 def test_repeated_correlation_id_is_a_conflict() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
-        request = ask()
+        request = build_request()
         assert [(await client.send(request))[0] for _ in range(2)] == [200, 409]
         assert len(server.requests) == 1
 
@@ -196,7 +202,7 @@
 
     def asking(number: int) -> Message:
         message = Message()
-        lines = ask(X_Correlation_Id=f"{number}").split(b"\r\n")
+        lines = build_request(X_Correlation_Id=f"{number}").split(b"\r\n")
         message.method, message.target = lines[0].split()[:2]
         message.headers = [(n, v) for n, _, v in (line.partition(b": ") for line in lines[1:] if line)]
         return message
@@ -211,9 +217,9 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def scenario() -> None:
-        server = await answering(*(OK.replace(BODY, b"%13d " % n) for n in range(20)))
+        server = await answering_server(*(OK.replace(BODY, b"%13d " % n) for n in range(20)))
         client = await Client.to(gateway(server.address))
-        client.writer.write(b"".join(ask() for _ in range(20)))
+        client.writer.write(b"".join(build_request() for _ in range(20)))
         assert [int((await client.answer())[2]) for _ in range(20)] == list(range(20))
 
     run(scenario())
@@ -221,10 +227,10 @@
 
 def test_no_request_is_handled_after_one_with_connection_close() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask(Connection="close") + ask())
+        client.writer.write(build_request(Connection="close") + build_request())
         gw.frontend.begin_shutdown()  # before it is read
         assert (await client.answer())[0] == 200
         assert await client.reader.read() == b""
@@ -239,10 +245,12 @@
 ) -> None:
     # A rejection used to close the connection at once, without answers to the requests read behind it.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask() + ask("odd") + ask() + ask("odd") + ask())
+        client.writer.write(
+            build_request() + build_request("odd") + build_request() + build_request("odd") + build_request()
+        )
         if shutting_down:
             gw.frontend.begin_shutdown()  # before it is read
         heads = [(await client.answer())[:2] for _ in range(5)]
@@ -256,9 +264,9 @@
 
 def test_valid_requests_ahead_of_invalid_input_are_answered() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
-        client.writer.write(ask() + ask() + b"\x00\r\n\r\n")
+        client.writer.write(build_request() + build_request() + b"\x00\r\n\r\n")
         assert [(await client.answer())[0] for _ in range(3)] == [200, 200, 400]
         assert await client.reader.read() == b""
 
@@ -267,14 +275,14 @@
 
 def test_reading_pauses_for_a_client_that_pipelines_many_requests() -> None:
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask("post"))
-        await until(lambda: len(server.requests) == 1)
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: len(server.requests) == 1)
         (connection,) = gw.frontend.clients.open
-        client.writer.write(b"".join(ask("post", body=b"a" * 60_000) for _ in range(300)))
-        await until(lambda: connection.reading_paused)
+        client.writer.write(b"".join(build_request("post", body=b"a" * 60_000) for _ in range(300)))
+        await wait_until(lambda: connection.reading_paused)
         for _ in range(50):
             await asyncio.sleep(0)
         assert len(connection.pending) < 5
@@ -290,7 +298,7 @@
     return monkeypatch
 
 
-@pytest.mark.parametrize("sent", [b"", ask()[:30], ask("post", Content_Length="50")])
+@pytest.mark.parametrize("sent", [b"", build_request()[:30], build_request("post", Content_Length="50")])
 def test_client_that_never_completes_a_request_is_closed(
     sent: bytes, fast_timeout_checks: pytest.MonkeyPatch
 ) -> None:
@@ -302,7 +310,7 @@
         client.writer.write(sent)
         got = await client.reader.read()
         assert got.startswith(b"HTTP/1.1 408 ") == bool(sent)
-        await until(lambda: not gw.frontend.clients.open)
+        await wait_until(lambda: not gw.frontend.clients.open)
 
     run(scenario())
 
@@ -311,10 +319,10 @@
     fast_timeout_checks.setattr(client_module, "IDLE_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
-        assert (await client.send(ask()))[0] == 200
+        assert (await client.send(build_request()))[0] == 200
         assert await client.reader.read() == b""
         assert not gw.frontend.clients.open
 
@@ -325,12 +333,12 @@
     fast_timeout_checks.setattr(client_module, "REQUEST_TIMEOUT_NS", 100_000_000)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
-        assert (await client.send(ask()))[0] == 200
+        assert (await client.send(build_request()))[0] == 200
         await asyncio.sleep(0.2)  # time between requests doesn't count for the next request
-        assert (await client.send(ask()))[0] == 200
-        assert (await client.send(ask()[:-2]))[0] == 408
+        assert (await client.send(build_request()))[0] == 200
+        assert (await client.send(build_request()[:-2]))[0] == 408
 
     run(scenario())
 
@@ -342,9 +350,9 @@
         fast_timeout_checks.setattr(client_module, limit, 1)
 
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         client = await Client.to(gateway(server.address))
-        assert (await client.send(ask("post", left="0.500")))[0] == 502
+        assert (await client.send(build_request("post", left="0.500")))[0] == 502
 
     run(scenario())
 
@@ -354,12 +362,14 @@
 
     async def scenario() -> None:
         body = b"a" * 60_000
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        server = await answering_server(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        )
         gw = gateway(server.address)
         sock = socket.create_connection(gw.frontend.address)
-        sock.sendall(b"".join(ask() for _ in range(300)))
-        await until(lambda: any(c.write_blocked for c in gw.frontend.clients.open))
-        await until(lambda: not gw.frontend.clients.open)
+        sock.sendall(b"".join(build_request() for _ in range(300)))
+        await wait_until(lambda: any(c.write_blocked for c in gw.frontend.clients.open))
+        await wait_until(lambda: not gw.frontend.clients.open)
         sock.close()
 
     run(scenario())
@@ -367,14 +377,16 @@
 
 def test_silent_connections_do_not_keep_out_requests() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits={"sockets": 64})
         idle_client = await Client.to(gw)
-        assert (await idle_client.send(ask()))[0] == 200
+        assert (await idle_client.send(build_request()))[0] == 200
         silent_clients = [await Client.to(gw) for _ in range(100)]
         late = await Client.to(gw)
-        assert (await late.send(ask()))[0] == 200
-        assert (await idle_client.send(ask()))[0] == 200  # not evicted, though it has been idle for longest
+        assert (await late.send(build_request()))[0] == 200
+        assert (await idle_client.send(build_request()))[
+            0
+        ] == 200  # not evicted, though it has been idle for longest
         assert len(gw.frontend.clients.open) <= 8
         assert len(silent_clients) == 100
 
@@ -385,17 +397,17 @@
     # Each new connection used to keep idle ones from eviction for its time of grace, so that with a table
     # full of idle connections requests waited unread for seconds (incident r110174).
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits={"sockets": 128})
         idle_clients = [await Client.to(gw) for _ in range(gw.frontend.clients.budget - 1)]
         for client in idle_clients:
-            assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 200
         new_clients = [await Client.to(gw) for _ in range(2)]
-        await until(lambda: len(gw.frontend.clients.new) > 0)
+        await wait_until(lambda: len(gw.frontend.clients.new) > 0)
         before = len(gw.frontend.clients.idle)
         gw.frontend.clients.make_room()
         assert len(gw.frontend.clients.idle) < before
-        assert (await new_clients[0].send(ask()))[0] == 200
+        assert (await new_clients[0].send(build_request()))[0] == 200
 
     run(scenario())
 
@@ -404,11 +416,11 @@
     monkeypatch.setattr(client_module, "LINGER_S", 60.0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits={"sockets": 64})
         for _ in range(40):
             assert (await (await Client.to(gw)).send(b"\x00\r\n\r\n"))[0] == 400
-        assert (await (await Client.to(gw)).send(ask()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
 
     run(scenario())
 
@@ -417,30 +429,30 @@
     monkeypatch.setattr(frontend, "MAX_HELD_BODY_BYTES", 100_000)
 
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         gw = gateway(server.address)
         one, two = await Client.to(gw), await Client.to(gw)
-        one.writer.write(ask("post", body=b"a" * 60_000))
-        await until(lambda: len(server.requests) == 1)
-        status, head, _ = await two.send(ask("post", body=b"a" * 60_000))
+        one.writer.write(build_request("post", body=b"a" * 60_000))
+        await wait_until(lambda: len(server.requests) == 1)
+        status, head, _ = await two.send(build_request("post", body=b"a" * 60_000))
         assert status == 503
         assert b"Retry-After: " in head
         one.writer.close()
-        await until(lambda: gw.frontend._held_body_bytes == 0)
+        await wait_until(lambda: gw.frontend._held_body_bytes == 0)
         three = await Client.to(gw)
-        three.writer.write(ask("post", body=b"a" * 60_000))
-        await until(lambda: len(server.requests) == 3)
+        three.writer.write(build_request("post", body=b"a" * 60_000))
+        await wait_until(lambda: len(server.requests) == 3)
 
     run(scenario())
 
 
 def test_refusal_over_quota_comes_at_once_with_retry_after() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
         begun = time.monotonic()
         for _ in range(9):
-            status, head, _ = await client.send(ask(X_Contract="small"))
+            status, head, _ = await client.send(build_request(X_Contract="small"))
             if status == 429:
                 break
         assert status == 429
@@ -452,28 +464,30 @@
 
 def test_missing_server_answer_fails_the_request_before_its_deadline() -> None:
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         client = await Client.to(gateway(server.address))
         begun = time.monotonic()
-        status, _, _ = await client.send(ask("post", left="0.400"))
+        status, _, _ = await client.send(build_request("post", left="0.400"))
         assert status == 502
         assert 0.2 < time.monotonic() - begun < 2.0
         left = float(server.requests[0].split(b"X-Time-Left: ")[1].split(b"\r\n")[0])
         assert left <= 0.38  # a margin is kept, as the client counts from its send
-        await until(lambda: server.requests[1:] == [b""])  # the gateway closed the connection to the server
+        await wait_until(
+            lambda: server.requests[1:] == [b""]
+        )  # the gateway closed the connection to the server
 
     run(scenario())
 
 
 def test_client_disconnect_cancels_the_attempt() -> None:
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         client = await Client.to(gateway(server.address))
-        client.writer.write(ask("post", left="4.000"))
-        await until(lambda: len(server.requests) == 1)
+        client.writer.write(build_request("post", left="4.000"))
+        await wait_until(lambda: len(server.requests) == 1)
         left_at = time.monotonic()
         client.writer.close()
-        await until(lambda: server.requests[1:] == [b""])
+        await wait_until(lambda: server.requests[1:] == [b""])
         assert time.monotonic() - left_at < 2.0  # long before the deadline
 
     run(scenario())
@@ -483,23 +497,23 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def scenario() -> None:
-        server = await silent()
-        good = await answering(OK)
+        server = await silent_server()
+        good = await answering_server(OK)
         gw = gateway(server.address)
         client, other = await Client.to(gw), await Client.to(gw)
-        client.writer.write(ask("post"))
-        await until(lambda: len(server.requests) == 1)
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: len(server.requests) == 1)
 
         def broken(now: int, events: list[interface.Event]) -> list[interface.Action]:
             raise ZeroDivisionError("raised by the test")
 
         gw.runtime._policy.handle = broken  # type: ignore[method-assign, assignment]
-        assert (await other.send(ask()))[0] == 502
+        assert (await other.send(build_request()))[0] == 502
         assert (await client.answer())[0] == 502
         assert "the policy raised an exception" in caplog.text
-        await until(lambda: server.requests[1:] == [b""])
+        await wait_until(lambda: server.requests[1:] == [b""])
         server.script = good.script
-        assert (await client.send(ask()))[0] == 200
+        assert (await client.send(build_request()))[0] == 200
 
     run(scenario())
 
@@ -515,7 +529,7 @@
         for number, at in enumerate(due):
             gw.runtime._post_timer_when_due(at, number)
         time.sleep(0.005)
-        await until(lambda: len(fired) == len(due))
+        await wait_until(lambda: len(fired) == len(due))
         assert all(at >= due[number] for number, at in fired)
 
     run(scenario())
@@ -523,16 +537,16 @@
 
 def test_clients_beyond_the_connection_budget_are_all_served() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address, limits={"sockets": 64})
         clients = [await Client.to(gw) for _ in range(60)]
         max_open = 0
         for client in clients:
             try:
-                assert (await client.send(ask()))[0] == 200
+                assert (await client.send(build_request()))[0] == 200
             except asyncio.IncompleteReadError:
                 # The idle connection was evicted: clients send the request once more.
-                assert (await (await Client.to(gw)).send(ask()))[0] == 200
+                assert (await (await Client.to(gw)).send(build_request()))[0] == 200
             max_open = max(max_open, len(gw.frontend.clients.open))
         assert max_open <= 8
 
@@ -541,7 +555,7 @@
 
 def test_accept_recovers_from_a_descriptor_shortage(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         listener: Any = gw.frontend._listener
 
@@ -560,7 +574,7 @@
         monkeypatch.setattr(gw.frontend, "_listener", Exhausted())
         loop_errors: list[Any] = []
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: loop_errors.append(context))
-        assert (await (await Client.to(gw)).send(ask()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
         assert not loop_errors
 
     run(scenario())
@@ -568,7 +582,7 @@
 
 def test_shutdown_answers_open_requests_and_new_ones() -> None:
     async def scenario() -> None:
-        slow, release = await silent(), asyncio.Event()
+        slow, release = await silent_server(), asyncio.Event()
 
         async def script(peer: Any, reader: Any, writer: Any) -> None:
             peer.requests.append(await reader.readuntil(b"\r\n\r\n"))
@@ -581,14 +595,14 @@
         address = gw.frontend.address
         idle, held = await Client.to(gw), await Client.to(gw)
         assert (await idle.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-        held.writer.write(ask())
-        await until(lambda: len(slow.requests) == 1)
+        held.writer.write(build_request())
+        await wait_until(lambda: len(slow.requests) == 1)
         end = asyncio.ensure_future(gw.wait_and_close())
         gw.frontend.begin_shutdown()
         assert await idle.reader.read() == b""
         await asyncio.sleep(0.3)  # new connections are still accepted
         late = await Client.to(gw)
-        status, head, _ = await late.send(ask("odd"))
+        status, head, _ = await late.send(build_request("odd"))
         assert status == 404
         assert b"Connection: close" in head
         assert await late.reader.read() == b""
@@ -607,12 +621,12 @@
 
 def test_unread_request_is_answered_during_shutdown() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
-        assert (await client.send(ask()))[0] == 200
+        assert (await client.send(build_request()))[0] == 200
         sock = client.writer.get_extra_info("socket")
-        os.write(sock.fileno(), ask())  # in the gateway's kernel buffer before its loop runs again
+        os.write(sock.fileno(), build_request())  # in the gateway's kernel buffer before its loop runs again
         gw.frontend.begin_shutdown()
         assert (await client.answer())[0] == 200
 
@@ -622,9 +636,9 @@
 def test_upgrade_header_on_a_request_with_a_body_is_rejected() -> None:
     # It used to be forwarded without its body, which the parser takes for data of the new protocol.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
-        request = ask("post", body=b"a" * 10, Connection="Upgrade", Upgrade="h2c")
+        request = build_request("post", body=b"a" * 10, Connection="Upgrade", Upgrade="h2c")
         assert (await client.send(request))[0] == 400
         assert server.requests == []
 
@@ -633,9 +647,11 @@
 
 def test_upgrade_header_is_ignored_and_not_forwarded() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address))
-        status, _, body = await client.send(ask(Connection="Upgrade, HTTP2-Settings", Upgrade="h2c"))
+        status, _, body = await client.send(
+            build_request(Connection="Upgrade, HTTP2-Settings", Upgrade="h2c")
+        )
         assert (status, body) == (200, BODY)
         assert b"pgrade" not in server.requests[0]
 
@@ -645,7 +661,7 @@
 def test_client_that_is_still_sending_can_read_its_rejection() -> None:
     async def scenario() -> None:
         client = await Client.to(gateway())
-        client.writer.write(ask("post", body=b"a" * 3_000_000))
+        client.writer.write(build_request("post", body=b"a" * 3_000_000))
         assert (await client.answer())[0] == 413
         assert await client.reader.read() == b""
 
@@ -655,16 +671,16 @@
 def test_attempt_started_in_the_turn_of_the_disconnect_is_cleaned_up() -> None:
     # In one loop turn the decision module starts a further attempt and is then informed of the disconnect.
     async def scenario() -> None:
-        server = await silent()
+        server = await silent_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask())
-        await until(lambda: len(server.requests) == 1)
+        client.writer.write(build_request())
+        await wait_until(lambda: len(server.requests) == 1)
         (connection,) = gw.backends._open
         gw.backends.end_attempt(connection, interface.Status.DROPPED)
         gw.runtime.cancel_request(1)
-        await until(lambda: not gw.runtime._in_flight)
-        await until(lambda: not gw.runtime._policy.in_flight)
+        await wait_until(lambda: not gw.runtime._in_flight)
+        await wait_until(lambda: not gw.runtime._policy.in_flight)
 
     run(scenario())
 
@@ -673,8 +689,8 @@
     async def scenario() -> None:
         gw = gateway()
         client = await Client.to(gw)
-        client.writer.write(ask()[:-2])
-        await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        client.writer.write(build_request()[:-2])
+        await wait_until(lambda: any(c.receiving for c in gw.frontend.clients.open))
         gw.frontend.begin_shutdown()
         await gw.wait_and_close()
 
@@ -683,12 +699,12 @@
 
 def test_request_completed_during_shutdown_is_answered() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
-        request = ask()
+        request = build_request()
         client.writer.write(request[:40])
-        await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        await wait_until(lambda: any(c.receiving for c in gw.frontend.clients.open))
         gw.frontend.begin_shutdown()
         await asyncio.sleep(0.1)
         assert (await client.send(request[40:]))[0] == 200
@@ -699,11 +715,13 @@
 def test_unread_answers_of_one_client_are_bounded() -> None:
     async def scenario() -> None:
         body = b"a" * 60_000
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        server = await answering_server(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        )
         gw = gateway(server.address)
         sock = socket.create_connection(gw.frontend.address)
-        sock.sendall(b"".join(ask() for _ in range(300)))
-        await until(lambda: any(c.write_blocked for c in gw.frontend.clients.open))
+        sock.sendall(b"".join(build_request() for _ in range(300)))
+        await wait_until(lambda: any(c.write_blocked for c in gw.frontend.clients.open))
         (connection,) = gw.frontend.clients.open
         for _ in range(20):
             await asyncio.sleep(0.002)
@@ -719,13 +737,13 @@
 
 def test_exception_in_one_request_fails_that_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
         with monkeypatch.context() as patch:
             patch.setattr(gw.backends, "start", lambda attempt: 1 / 0)
-            assert (await client.send(ask()))[0] == 502
-        await until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
-        assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 502
+        await wait_until(lambda: not gw.runtime._in_flight and not gw.runtime._policy.in_flight)
+        assert (await client.send(build_request()))[0] == 200
 
     run(scenario())
--- a/tests/test_gateway_counter.py
+++ b/tests/test_gateway_counter.py
@@ -11,7 +11,7 @@
 from gingerworks.gateway import clock
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.counter import CounterClient
-from tests.loopback import Peer, Reader, Writer, closed_port, run, until
+from tests.loopback import Peer, Reader, Writer, closed_port, run, wait_until
 
 WAIT_NS = 20_000_000_000  # a busy machine must not make a call late
 SHORT_NS = 80_000_000
@@ -25,7 +25,7 @@
 async def made_up(counter: CounterClient) -> None:
     """Wait until its connection is up: what is called from now on is written at once."""
     counter.connect()
-    await until(lambda: counter._socket is not None)
+    await wait_until(lambda: counter._socket is not None)
 
 
 def call(number: int, amount: float = 1.0) -> interface.Count:
@@ -48,7 +48,7 @@
         made, told = counter(peer.address)
         for number in range(50):
             made.call(call(number, number + 0.5))
-        await until(lambda: len(told) == 50)
+        await wait_until(lambda: len(told) == 50)
         assert [(c.name, c.status, c.total) for c in told] == [
             (n, interface.Status.DELIVERED, n + 0.5) for n in range(50)
         ]
@@ -74,12 +74,12 @@
         made, told = counter(peer.address, SHORT_NS)
         await made_up(made)
         made.call(call(1))
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         assert told[0].status is interface.Status.EXPIRED
         made._wait_s = 20.0
         made.call(call(1))
         late.set()
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert (told[1].status, told[1].total) == (interface.Status.DELIVERED, 222.0)
 
     run(scenario())
@@ -113,12 +113,12 @@
         peer = await scripted(play)
         made, told = counter(peer.address)
         made.call(call(1))
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         assert told[0].status is status
         while told[-1].status is not interface.Status.DELIVERED:
             before = len(told)
             made.call(call(2))
-            await until(lambda: len(told) > before)  # noqa: B023
+            await wait_until(lambda: len(told) > before)  # noqa: B023
             assert told[-1].status in (interface.Status.DELIVERED, interface.Status.DIAL_FAILED)
             await asyncio.sleep(0.01)
 
@@ -141,7 +141,7 @@
         made, told = counter(peer.address)
         for number in range(3):
             made.call(call(number))
-            await until(lambda: len(told) == number + 1)  # noqa: B023
+            await wait_until(lambda: len(told) == number + 1)  # noqa: B023
         assert [c.status for c in told] == [
             interface.Status.DELIVERED,
             interface.Status.EXPIRED,
@@ -156,7 +156,7 @@
         made, told = counter(("127.0.0.1", closed_port()))
         for _ in range(3):
             made.call(call(1))
-        await until(lambda: len(told) == 3)
+        await wait_until(lambda: len(told) == 3)
         assert {c.status for c in told} == {interface.Status.DIAL_FAILED}
 
     run(scenario())
@@ -177,7 +177,7 @@
             number += 1
             before = len(told)
             made.call(call(number))
-            await until(lambda: len(told) > before)  # noqa: B023
+            await wait_until(lambda: len(told) > before)  # noqa: B023
             await asyncio.sleep(0.005)
         assert peer.connections == 2
         assert told[0].status is interface.Status.EXPIRED
@@ -194,7 +194,7 @@
         made, _ = counter(peer.address)
         await made_up(made)
         made.call(call(1))
-        await until(lambda: made._calls[0].is_fully_sent)
+        await wait_until(lambda: made._calls[0].is_fully_sent)
         made._calls[0].started_ns -= 60_000_000_000
         made._last_received_ns = clock.now()
         made._on_call_timeout(made._calls[0])
@@ -211,10 +211,10 @@
         peer = await scripted(echoing)
         made, told = counter(peer.address)
         made.call(call(1))
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         made._last_used_ns -= 60_000_000_000
         made.call(call(2))
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert peer.connections == 2
 
     run(scenario())
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -23,15 +23,15 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     closed_port,
     entry,
     gateway,
     listing,
     raw_config,
     run,
-    until,
+    wait_until,
 )
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -64,7 +64,7 @@
         first = [line(listing(entry("a", ("127.0.0.1", 1)), index=6)), b"1\r\n\n\r\n"]
         second = [line(listing(entry("a", ("127.0.0.1", 1), "Gone"), index=7, snapshot=False))]
         peer, told = await watching(first, second)
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert peer.requests == [b"/catalog/members?follow=1&since=5", b"/catalog/members?follow=1&since=6"]
         assert [(c.index, c.full) for c in told] == [(6, True), (7, False)]
         assert told[1].endpoints[0].server.phase is interface.Phase.GONE
@@ -79,7 +79,7 @@
     async def scenario() -> None:
         bad = [b"%x\r\n%b\n\r\n" % (len(junk) + 1, junk)]
         peer, told = await watching(bad, [line(listing(index=9))])
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         assert peer.requests[1] == b"/catalog/members?follow=1&since=0"
 
     run(scenario())
@@ -89,7 +89,7 @@
     async def scenario() -> None:
         first = [line(listing(index=1 << 50)), line(listing(index=8, snapshot=False))]
         peer, told = await watching(first, [line(listing(entry("a", ("127.0.0.1", 1)), index=9))])
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert peer.requests[1] == b"/catalog/members?follow=1&since=0"
         assert told[1].endpoints[0].server.name == "a"
 
@@ -111,7 +111,7 @@
                 raise KeyError("made up")
 
         task = asyncio.ensure_future(Watch(peer.address, 5, 7, hears).run())
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         task.cancel()
 
     run(scenario())
@@ -129,7 +129,7 @@
 
         peer = await Peer(script).start()
         task = asyncio.ensure_future(Watch(peer.address, 5, 7, lambda change: None).run())
-        await until(lambda: peer.connections == 2)
+        await wait_until(lambda: peer.connections == 2)
         task.cancel()
 
     run(scenario())
@@ -160,7 +160,7 @@
 
 def test_the_watch_tells_of_a_server_that_took_over() -> None:
     async def scenario() -> None:
-        old, new = await answering(OK), await answering(OK)
+        old, new = await answering_server(OK), await answering_server(OK)
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             writer.write(HEAD + line(listing(entry("s9", new.address), index=8)))
@@ -168,8 +168,8 @@
 
         peer = await Peer(script).start()
         made = gateway(old.address, discovery=f"{peer.address[0]}:{peer.address[1]}")
-        await until(lambda: [s.name for s in made.backends.servers()] == ["s9"])
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["s9"])
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
         assert len(new.requests) == 1
 
     run(scenario())
@@ -318,7 +318,7 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery, "pause", pause)
             task = asyncio.ensure_future(Watch(peer.address, 5, 7, told.append, 200).run())
-            await until(lambda: bool(told) or task.done())
+            await wait_until(lambda: bool(told) or task.done())
         assert [change.index for change in told] == [6]
         task.cancel()
 
@@ -376,7 +376,7 @@
 
         peer = await Peer(script).start()
         task = asyncio.ensure_future(Watch(peer.address, 5, 7, lambda change: None, 200).run())
-        await until(lambda: len(paused) == 4)
+        await wait_until(lambda: len(paused) == 4)
         task.cancel()
 
     monkeypatch.setattr(discovery, "pause", pause)
@@ -399,7 +399,7 @@
         text = "".join(json.dumps(one, indent=indent).replace("\n", ending) + ending for one in lists)
         plain = json.dumps(listing(index=8, snapshot=False)) + "\n"
         peer, told = await watching([chunked((text + ending + plain).encode())])
-        await until(lambda: len(told) == 3)
+        await wait_until(lambda: len(told) == 3)
         assert [(change.index, change.full) for change in told] == [(6, True), (7, False), (8, False)]
         assert told[0].endpoints[0].server.name == 'a"{['
         assert peer.connections == 1
@@ -414,7 +414,7 @@
     async def scenario() -> None:
         broken = json.dumps(listing(entry("a", ("127.0.0.1", 1)), index=6), indent=2).encode()[:60]
         peer, told = await watching([chunked(broken + b"\n" + behind)], [line(listing(index=9))])
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         assert peer.requests[1] == b"/catalog/members?follow=1&since=0"
         assert told[0].index == 9
 
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -21,14 +21,14 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     entry,
     gateway,
     listing,
     raw_config,
     run,
-    until,
+    wait_until,
 )
 from tests.test_gateway_discovery import HEAD, line
 
@@ -51,19 +51,19 @@
 
 def test_the_new_discovery_is_followed_and_the_old_watch_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         old = await discovery(entry("a", one.address), index=900)
         new = await discovery(entry("b", two.address), index=3)
         made = gateway(discovery=at(old))
-        await until(lambda: [s.name for s in made.backends.servers()] == ["a"])
+        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["a"])
         file = tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(discovery=at(new))))
         # The variable is as old as the process: the file must win.
         made.reload({"NODE_CONFIG": str(file), "NODE_DISCOVERY": at(old)})
-        await until(lambda: [s.name for s in made.backends.servers()] == ["b"])
+        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["b"])
         assert new.requests == [b"/catalog/members?follow=1&since=0"]
-        await until(lambda: old.requests[1:] == [b""])
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        await wait_until(lambda: old.requests[1:] == [b""])
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
         assert len(two.requests) == 1
 
     run(scenario())
@@ -74,16 +74,16 @@
     content: str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         old = await discovery(entry("a", server.address), index=9)
         made = gateway(discovery=at(old))
-        await until(lambda: [s.name for s in made.backends.servers()] == ["a"])
+        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["a"])
         file = tmp_path / "config.json"
         if content is not None:
             file.write_text(content)
         made.reload({"NODE_CONFIG": str(file)})
         assert "keeping the former one" in caplog.text
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
         assert len(old.requests) == 1
 
     run(scenario())
@@ -99,8 +99,8 @@
             made.reload({"NODE_CONFIG": str(file)})
         assert made.runtime.counter is not None
         assert made.runtime.counter._address == peers[3].address
-        await until(lambda: len(peers[3].requests) > 0)
-        await until(lambda: all(peer.requests[1:2] in ([], [b""]) for peer in peers[:3]))
+        await wait_until(lambda: len(peers[3].requests) > 0)
+        await wait_until(lambda: all(peer.requests[1:2] in ([], [b""]) for peer in peers[:3]))
         watches = [task for task in asyncio.all_tasks() if "Watch.run" in str(task.get_coro())]
         assert len(watches) == 1
 
@@ -114,16 +114,16 @@
             await reader.read()  # never answers: the watch is not open yet
             peer.requests.append(b"")
 
-        server, old = await answering(OK), await Peer(script).start()
+        server, old = await answering_server(OK), await Peer(script).start()
         made = gateway(discovery=at(old))
-        await until(lambda: len(old.requests) == 1)
+        await wait_until(lambda: len(old.requests) == 1)
         new = await discovery(entry("b", server.address), index=2)
         file = tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(discovery=at(new))))
         made.reload({"NODE_CONFIG": str(file)})
-        await until(lambda: [s.name for s in made.backends.servers()] == ["b"])
-        await until(lambda: old.requests[1:] == [b""])
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["b"])
+        await wait_until(lambda: old.requests[1:] == [b""])
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
 
     run(scenario())
 
@@ -131,20 +131,20 @@
 @pytest.mark.parametrize("when", ["before", "during", "after"])
 def test_a_reload_beside_the_end_neither_stops_it_nor_undoes_it(when: str, tmp_path: Path) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         old = await discovery(entry("a", server.address), index=2)
         new = await discovery(entry("a", server.address), index=2)
         made = gateway(discovery=at(old))
         address = made.frontend.address
         client = await Client.to(made)
-        assert (await client.send(ask()))[0] == 200
+        assert (await client.send(build_request()))[0] == 200
         file = tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(discovery=at(new))))
         if when == "before":
             made.reload({"NODE_CONFIG": str(file)})
         held = await Client.to(made)
-        held.writer.write(ask()[:-2])
-        await until(lambda: any(c.receiving for c in made.frontend.clients.open))
+        held.writer.write(build_request()[:-2])
+        await wait_until(lambda: any(c.receiving for c in made.frontend.clients.open))
         made.frontend.begin_shutdown()
         if when == "during":
             made.reload({"NODE_CONFIG": str(file)})
@@ -173,13 +173,13 @@
         told: list[interface.Counted] = []
         made = CounterClient(asyncio.get_running_loop(), peer.address, 20_000_000_000, 7, told.append)
         made.call(interface.Count(1, 2.0, 60_000_000_000))
-        await until(lambda: len(peer.requests) == 1)
+        await wait_until(lambda: len(peer.requests) == 1)
         made.retire()
         assert told == []
         answer.set()
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         assert (told[0].status, told[0].total) == (interface.Status.DELIVERED, 7.0)
-        await until(lambda: peer.requests[1:] == [b""])  # and then its connection is closed
+        await wait_until(lambda: peer.requests[1:] == [b""])  # and then its connection is closed
 
     run(scenario())
 
@@ -211,7 +211,7 @@
 def test_no_client_is_taken_in_before_discovery_has_told_what_the_old_list_lacks() -> None:
     # Restarted gateways sent to servers that had begun to drain while they were down, and broke the rule.
     async def scenario() -> None:
-        old, new = await answering(OK), await answering(OK)
+        old, new = await answering_server(OK), await answering_server(OK)
         tells = asyncio.Event()
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
@@ -224,8 +224,8 @@
         peer = await Peer(script).start()
         made = gateway(old.address, discovery=at(peer))
         client = await Client.to(made)
-        client.writer.write(ask())
-        await until(lambda: len(peer.requests) == 1)
+        client.writer.write(build_request())
+        await wait_until(lambda: len(peer.requests) == 1)
         await asyncio.sleep(0.05)
         assert not old.requests
         tells.set()
@@ -242,8 +242,8 @@
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
-        peer, server = await Peer(script).start(), await answering(OK)
+        peer, server = await Peer(script).start(), await answering_server(OK)
         made = gateway(server.address, discovery=at(peer))
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
 
     run(scenario())
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -17,13 +17,13 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     gateway,
     raw_config,
     read_message,
     run,
-    until,
+    wait_until,
 )
 from tests.test_gateway_clients import held_server
 
@@ -57,10 +57,10 @@
 def test_all_connections_in_the_backlog_are_accepted_before_the_listener_closes() -> None:
     # The last accept used to take 64 connections and the close reset the others, which had sent requests.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         gw.frontend.start_accepting()
-        socks = [connect_and_send(gw, ask()) for _ in range(100)]
+        socks = [connect_and_send(gw, build_request()) for _ in range(100)]
         shut_down_now(gw)
         heads = [(await read_to_end(sock)).split(b"\r\n")[0] for sock in socks]
         assert [head.split()[1] for head in heads] == [b"200"] * 100
@@ -74,10 +74,10 @@
         server, release = await held_server()
         gw = gateway(server.address, limits=EIGHT_CLIENTS)
         gw.frontend.start_accepting()
-        held = [connect_and_send(gw, ask()) for _ in range(gw.frontend.clients.budget)]
-        await until(lambda: len(gw.frontend.clients.open) == gw.frontend.clients.budget)
-        await until(lambda: bool(server.requests))
-        waits = connect_and_send(gw, ask())
+        held = [connect_and_send(gw, build_request()) for _ in range(gw.frontend.clients.budget)]
+        await wait_until(lambda: len(gw.frontend.clients.open) == gw.frontend.clients.budget)
+        await wait_until(lambda: bool(server.requests))
+        waits = connect_and_send(gw, build_request())
         shut_down_now(gw)
         release.set()
         for sock in [*held, waits]:
@@ -89,9 +89,9 @@
 
 def test_sigterm_before_the_first_accept_still_serves_the_backlog() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)  # discovery has not answered yet: nothing is accepted
-        sock = connect_and_send(gw, ask())
+        sock = connect_and_send(gw, build_request())
         gw.frontend.begin_shutdown()
         assert (await read_to_end(sock)).startswith(b"HTTP/1.1 200")
         await gw.wait_and_close()
@@ -104,8 +104,8 @@
         server, release = await held_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask())
-        await until(lambda: bool(server.requests))
+        client.writer.write(build_request())
+        await wait_until(lambda: bool(server.requests))
         gw.frontend.begin_shutdown()
         schedule = gw.frontend._shutdown.schedule
         gw.frontend.begin_shutdown()
@@ -143,8 +143,8 @@
         server, release = await held_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask() + ask() + ask())
-        await until(lambda: bool(server.requests))
+        client.writer.write(build_request() + build_request() + build_request())
+        await wait_until(lambda: bool(server.requests))
         gw.frontend.begin_shutdown()
         release.set()
         heads = [(await client.answer())[:2] for _ in range(3)]
@@ -160,9 +160,9 @@
     async def scenario() -> None:
         server, release = await held_server()
         gw = gateway(server.address)
-        client, second = await Client.to(gw), ask()
-        client.writer.write(ask() + second[:50])
-        await until(lambda: bool(server.requests) and any(c.receiving for c in gw.frontend.clients.open))
+        client, second = await Client.to(gw), build_request()
+        client.writer.write(build_request() + second[:50])
+        await wait_until(lambda: bool(server.requests) and any(c.receiving for c in gw.frontend.clients.open))
         gw.frontend.begin_shutdown()
         release.set()
         assert (await client.answer())[0] == 200
@@ -176,11 +176,11 @@
 
 def test_shutdown_does_not_finish_with_a_request_unread() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
-        client, request = await Client.to(gw), ask()
+        client, request = await Client.to(gw), build_request()
         client.writer.write(request[:50])
-        await until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        await wait_until(lambda: any(c.receiving for c in gw.frontend.clients.open))
         shut_down_now(gw)
         os.write(client.writer.get_extra_info("socket").fileno(), request[50:])
         gw.frontend._reject_incomplete()  # before the event loop runs again
@@ -209,7 +209,7 @@
         server = await Peer(script).start()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask("post", body=b"a" * 60_000))
+        client.writer.write(build_request("post", body=b"a" * 60_000))
         await begun.wait()
         gw.frontend.begin_shutdown()
         release.set()
@@ -227,7 +227,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, gw.frontend.address)
-    await until(lambda: any(client.transport for client in gw.frontend.clients.open))
+    await wait_until(lambda: any(client.transport for client in gw.frontend.clients.open))
     (client,) = gw.frontend.clients.open
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return sock, client
@@ -239,13 +239,13 @@
 def test_request_behind_answers_that_are_not_read_yet_is_answered() -> None:
     # The connection used to count as idle though the request had been read, and SIGTERM closed it.
     async def scenario() -> None:
-        server = await answering(LONG_ANSWER)
+        server = await answering_server(LONG_ANSWER)
         gw = gateway(server.address)
         sock, client = await slow_reader(gw)
-        sock.send(ask() + ask())
-        await until(lambda: client.write_blocked)
-        sock.send(ask())
-        await until(lambda: bool(client.pending))
+        sock.send(build_request() + build_request())
+        await wait_until(lambda: client.write_blocked)
+        sock.send(build_request())
+        await wait_until(lambda: bool(client.pending))
         gw.frontend.begin_shutdown()
         reader, writer = await asyncio.open_connection(sock=sock)
         for _ in range(3):
@@ -263,11 +263,11 @@
     monkeypatch.setattr(client_module, "LINGER_S", 0.0)
 
     async def scenario() -> None:
-        server = await answering(LONG_ANSWER)
+        server = await answering_server(LONG_ANSWER)
         gw = gateway(server.address)
         sock, client = await slow_reader(gw)
-        sock.send(ask() + b"\x00\r\n\r\n")
-        await until(lambda: client.closing)
+        sock.send(build_request() + b"\x00\r\n\r\n")
+        await wait_until(lambda: client.closing)
         assert client.has_unsent_output()
         await asyncio.sleep(0.05)  # the linger timer has fired
         reader, writer = await asyncio.open_connection(sock=sock)
@@ -283,8 +283,8 @@
         server, _ = await held_server()
         gw = gateway(server.address)
         client = await Client.to(gw)
-        client.writer.write(ask("post", left="0.500"))
-        await until(lambda: bool(server.requests))
+        client.writer.write(build_request("post", left="0.500"))
+        await wait_until(lambda: bool(server.requests))
         gw.frontend.begin_shutdown()
         began = asyncio.get_running_loop().time()
         assert (await client.answer())[0] == 502
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -30,8 +30,8 @@
     Process,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     gateway,
     raw_config,
     read_message,
@@ -178,7 +178,7 @@
         await termination.moment(0.35)
         late = await Sender.to(gw)
         await termination.moment(sent_at_s)
-        late.send(ask(kind, left=f"{deadline_s:.3f}"))
+        late.send(build_request(kind, left=f"{deadline_s:.3f}"))
         status, head = await late.answer()
         assert late.answered_s < termination.kill_s
         assert status in (429, 502, 503)
@@ -202,7 +202,7 @@
         async def keep_sending() -> None:
             nonlocal sent
             while True:
-                sender.send(ask("look", left=f"{deadline_s:.3f}"))
+                sender.send(build_request("look", left=f"{deadline_s:.3f}"))
                 sent += 1
                 await asyncio.sleep(0.3)
 
@@ -227,7 +227,7 @@
     async def scenario() -> None:
         server = await hanging_server()
         gw = accepting_gateway(server.address, settings=settings(1.0))
-        sender = await Sender.asking(gw, ask(left="1.000"))
+        sender = await Sender.asking(gw, build_request(left="1.000"))
         termination = Termination(gw, 1.0)
         status, _ = await sender.answer()
         assert status == 503
@@ -242,7 +242,7 @@
     async def scenario() -> None:
         server = await hanging_server()
         gw = accepting_gateway(server.address, settings=settings(8.0))
-        sender = await Sender.asking(gw, ask("post", left="8.000"))
+        sender = await Sender.asking(gw, build_request("post", left="8.000"))
         termination = Termination(gw, 8.0)
         assert (await sender.answer())[0] == 502
         assert termination.kill_s - 0.5 < sender.answered_s < termination.kill_s
@@ -253,13 +253,13 @@
 
 def test_request_with_less_than_the_aim_left_is_refused_at_once_and_not_forwarded() -> None:
     async def scenario() -> None:
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        server = await answering_server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         gw = accepting_gateway(server.address, settings=settings(1.0, aim_s=0.9))
         termination = Termination(gw, 1.0)
         await termination.moment(0.05)
         late = await Sender.to(gw)
         await termination.moment(0.65)
-        late.send(ask("post", left="1.000"))
+        late.send(build_request("post", left="1.000"))
         status, head = await late.answer()
         assert status == 429
         assert b"Retry-After" in head
@@ -274,13 +274,13 @@
 def test_no_attempt_starts_after_the_answers_are_due() -> None:
     # The connection to the server opens just after that time, and the request could be sent on it.
     async def scenario() -> None:
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        server = await answering_server(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         gw = accepting_gateway(server.address, settings=settings(8.0))
         dials: list[Dial] = []
         sender = await Sender.to(gw)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Dial, "_on_writable", delay_connects(dials))
-            sender.send(ask("post", left="8.000"))
+            sender.send(build_request("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
             termination = Termination(gw, 8.0)
@@ -301,7 +301,7 @@
         dials: list[Dial] = []
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(Dial, "_on_writable", delay_connects(dials))
-            sender.send(ask("post", left="8.000"))
+            sender.send(build_request("post", left="8.000"))
             await asyncio.sleep(0.01)
             (dial,) = dials
             termination = Termination(gw, 8.0)
@@ -320,13 +320,13 @@
         gw = accepting_gateway(server.address, settings=settings(1.0), limits={"sockets": 64})
         held = [await Sender.to(gw) for _ in range(gw.frontend.clients.budget)]
         for sender in held:
-            sender.send(ask(left="1.000"))
+            sender.send(build_request(left="1.000"))
         await asyncio.sleep(0.01)
         termination = Termination(gw, 1.0)
         await termination.moment(0.35)
         waiting = [await Sender.to(gw) for _ in range(3)]
         for sender in waiting:
-            sender.send(ask(left="1.000"))
+            sender.send(build_request(left="1.000"))
         for sender in [*held, *waiting]:
             assert (await sender.answer())[0] in (429, 503)
             assert sender.answered_s < termination.kill_s
@@ -342,7 +342,7 @@
         sender = await Sender.to(gw)
         termination = Termination(gw, 1.0)
         await termination.moment(0.55)
-        sender.send(ask("post", left="1.000"))
+        sender.send(build_request("post", left="1.000"))
         assert (await sender.answer())[0] in (429, 502)
         assert sender.answered_s < termination.kill_s
         await termination.ended()
@@ -355,7 +355,7 @@
     # The process used to exit without an answer to it, even if the rest was on its way.
     async def scenario() -> None:
         gw = accepting_gateway(settings=settings(deadline_s))
-        sender = await Sender.asking(gw, ask()[:60])
+        sender = await Sender.asking(gw, build_request()[:60])
         termination = Termination(gw, deadline_s)
         status, head = await sender.answer()
         assert status == 503
@@ -370,7 +370,9 @@
     # The shutdown used to wait for it only half a second, however much time was left until SIGKILL.
     async def scenario() -> None:
         body = b"a" * 60_000
-        server = await answering(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        server = await answering_server(
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
+        )
         gw = accepting_gateway(server.address, settings=settings(2.5))
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -379,7 +381,7 @@
         await asyncio.sleep(0.01)
         (client,) = gw.frontend.clients.open
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        sock.send(ask(left="2.500"))
+        sock.send(build_request(left="2.500"))
         while not client.has_unsent_output():
             await asyncio.sleep(0.01)
         termination = Termination(gw, 2.5)
@@ -411,7 +413,7 @@
             patch.setattr(gw.runtime._policy, "handle", fail)
             gw.runtime._handle_events()
         await termination.moment(0.75)
-        late.send(ask("post", left="1.000"))
+        late.send(build_request("post", left="1.000"))
         assert (await late.answer())[0] == 502
         assert late.answered_s < termination.kill_s
         await termination.ended()
@@ -428,7 +430,7 @@
         late = await Sender.to(gw)
         gw.runtime._restart_policy()
         await termination.moment(0.75)
-        late.send(ask("post", left="1.000"))
+        late.send(build_request("post", left="1.000"))
         assert (await late.answer())[0] == 429
         assert server.requests == []
         await termination.ended()
@@ -440,7 +442,7 @@
     async def scenario() -> None:
         server = await hanging_server()
         gw = accepting_gateway(server.address, settings=settings(8.0))
-        sender = await Sender.asking(gw, ask("post", left="8.000"))
+        sender = await Sender.asking(gw, build_request("post", left="8.000"))
         termination = Termination(gw, 8.0)
         schedule = gw.frontend._shutdown.schedule
         stall_loop_until((schedule.answers_due_ns - UNIX_NS) / clock.NS_PER_S + STALL_S)
@@ -459,7 +461,7 @@
         place = f"{counter.address[0]}:{counter.address[1]}"
         gw = accepting_gateway(server.address, settings=changed, counter=place)
         sender = await Sender.asking(
-            gw, ask("post", left="8.000", X_Contract="small", X_Metering="units=6,spread=3,first=1")
+            gw, build_request("post", left="8.000", X_Contract="small", X_Metering="units=6,spread=3,first=1")
         )
         assert counter.requests
         termination = Termination(gw, 8.0)
@@ -477,7 +479,7 @@
     async def scenario() -> None:
         server = await hanging_server()
         gw = accepting_gateway(server.address, settings=settings(1.0))
-        sender = await Sender.asking(gw, ask("post", left="1.000"))
+        sender = await Sender.asking(gw, build_request("post", left="1.000"))
         termination = Termination(gw, 1.0)
         schedule = gw.frontend._shutdown.schedule
         file = tmp_path / "config.json"
@@ -487,7 +489,7 @@
         await termination.moment(0.35)
         late = await Sender.to(gw)
         await termination.moment(0.9)
-        late.send(ask("post", left="1.000"))
+        late.send(build_request("post", left="1.000"))
         for one in (sender, late):
             assert (await one.answer())[0] == 502
             assert one.answered_s < termination.kill_s
@@ -562,14 +564,16 @@
     early = await loopback.Client.at(process.address)
     assert (await early.send(b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
     late = await loopback.Client.at(process.address)
-    early.writer.write(ask("post", left="0.500"))
-    late.writer.write(ask("look", left="0.500")[:30])  # incomplete, so that this connection is not idle
+    early.writer.write(build_request("post", left="0.500"))
+    late.writer.write(
+        build_request("look", left="0.500")[:30]
+    )  # incomplete, so that this connection is not idle
     await asyncio.sleep(0)
     process.terminate()
     # Once no new connection has come for a while, those without a request are closed.  On a busy machine that
     # could be before an asynchronous send, so connect and send at once.
     sock = socket.create_connection(process.address)
-    sock.sendall(ask("post", left="0.500"))
+    sock.sendall(build_request("post", left="0.500"))
     latest = loopback.Client(*await asyncio.open_connection(sock=sock))
     answers = [await one.answer() for one in (early, latest, late)]
     assert all(status in (200, 429, 502, 503) for status, _, _ in answers)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -22,22 +22,22 @@
 from gingerworks.gateway.backend import Answer, Attempt
 from tests.loopback import (
     OK,
-    PATIENCE_S,
     SETTINGS,
+    TEST_TIMEOUT_S,
     Client,
     Peer,
     Process,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     entry,
     gateway,
     listing,
     raw_config,
     read_message,
     run,
-    until,
+    wait_until,
 )
 from tests.test_adapter import REQUEST, ROWS, START, batch
 from tests.test_adapter import run as play
@@ -76,11 +76,11 @@
     me: int, spread: int, first: int
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address, settings=fleet_settings(me)))
         metering = f"units=2,spread={spread},first={first}"
         for plan in ("free", "small"):
-            assert (await client.send(ask(X_Contract=plan, X_Metering=metering)))[0] == 200
+            assert (await client.send(build_request(X_Contract=plan, X_Metering=metering)))[0] == 200
         assert len(server.requests) == 2
 
     run(scenario())
@@ -89,9 +89,11 @@
 @pytest.mark.parametrize(("spread", "first"), [(COUNT + 1, 0), (1, COUNT), (0, 0)])
 def test_a_set_beyond_a_thousand_gateways_is_refused_as_malformed(spread: int, first: int) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         client = await Client.to(gateway(server.address, settings=fleet_settings(0)))
-        assert (await client.send(ask(X_Metering=f"units=2,spread={spread},first={first}")))[0] == 400
+        assert (await client.send(build_request(X_Metering=f"units=2,spread={spread},first={first}")))[
+            0
+        ] == 400
         assert not server.requests
 
     run(scenario())
@@ -168,15 +170,15 @@
     monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 1e6)  # nothing more is told
 
     async def scenario() -> None:
-        peers = [await answering(OK) for _ in range(LISTENERS)]
+        peers = [await answering_server(OK) for _ in range(LISTENERS)]
         servers = entries(peers)
         agent = await telling(form(listing(*servers, index=2, snapshot=snapshot)), pieces)
         made = gateway(discovery=f"{agent.address[0]}:{agent.address[1]}")
-        await until(lambda: len(list(made.backends.servers())) == COUNT)
+        await wait_until(lambda: len(list(made.backends.servers())) == COUNT)
         assert [one.name for one in made.backends.servers()] == [one["name"] for one in servers]
         assert agent.requests == [b"/catalog/members?follow=1&since=1"]
         assert not any(peer.connections for peer in peers)
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
         assert sum(peer.connections for peer in peers) == 1
 
     run(scenario())
@@ -184,7 +186,7 @@
 
 def test_a_delta_may_replace_all_of_a_thousand_servers() -> None:
     async def scenario() -> None:
-        peers = [await answering(OK)]
+        peers = [await answering_server(OK)]
         old, new = entries(peers), entries(peers, COUNT)
         leaving = [one | {"status": "Gone"} for one in old]
         texts = [
@@ -192,7 +194,7 @@
             for message in (listing(*old, index=6), listing(*leaving, *new, index=7, snapshot=False))
         ]
         peer, told = await watching([piece for message in texts for piece in in_one_chunk(message)])
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert [(change.full, len(change.endpoints)) for change in told] == [
             (True, COUNT),
             (False, 2 * COUNT),
@@ -202,7 +204,7 @@
         for change in told:
             made.runtime.update_servers(change)
         assert {one.name for one in made.backends.servers()} == {one["name"] for one in new}
-        assert (await (await Client.to(made)).send(ask()))[0] == 200
+        assert (await (await Client.to(made)).send(build_request()))[0] == 200
 
     run(scenario())
 
@@ -238,7 +240,7 @@
         while True:
             client = await Client.at(self.process.address)
             try:
-                status, _, body = await client.send(ask(left=PATIENT_LEFT))
+                status, _, body = await client.send(build_request(left=PATIENT_LEFT))
             except (ConnectionError, asyncio.IncompleteReadError):
                 continue  # shut unread, to make room
             finally:
@@ -304,11 +306,11 @@
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
             await process.listening()
             assert (await (await Client.at(process.address)).send(HEALTH))[0] == 200
-            await until(lambda: agent.requests == [b"told"])
+            await wait_until(lambda: agent.requests == [b"told"])
             assert process.descriptors() < RESERVED_SOCKETS
             assert not any(peer.connections for peer in peers)
             silent = [await Client.at(process.address) for _ in range(sockets)]
-            await until(lambda: process.descriptors() > sockets // 3)  # the table of clients is full
+            await wait_until(lambda: process.descriptors() > sockets // 3)  # the table of clients is full
             burst = Burst(process, sockets // 2 + 100)  # more than that table holds
             await burst.over()
             connections = sum(peer.connections for peer in peers)
@@ -330,7 +332,7 @@
 def test_attempts_at_a_thousand_servers_keep_to_the_servers_part_of_the_descriptors(sockets: int) -> None:
     # The module is passed over here: it never has so much out at once.
     async def scenario() -> None:
-        peers = [await answering(OK) for _ in range(LISTENERS)]
+        peers = [await answering_server(OK) for _ in range(LISTENERS)]
         servers = entries(peers)
         made = gateway(known=listing(*servers), limits={"sockets": sockets})
         assert made.frontend.clients.budget + made.backends._max_connections + RESERVED_SOCKETS <= sockets
@@ -341,18 +343,20 @@
             ended.append(status)
 
         def attempt_at(server: dict[str, Any]) -> None:
-            backends.start(Attempt(server["name"], PATIENCE_S, lambda left: ask(), lambda: True, end))
+            backends.start(
+                Attempt(server["name"], TEST_TIMEOUT_S, lambda left: build_request(), lambda: True, end)
+            )
 
         for server in servers:  # all at once: there is room for some
             attempt_at(server)
-        await until(lambda: len(ended) == COUNT)
+        await wait_until(lambda: len(ended) == COUNT)
         assert ended.count(interface.Status.UNUSED) == COUNT - budget
         assert ended.count(interface.Status.DELIVERED) == budget
         ended.clear()
         for server in reversed(servers):  # in turn: what rests makes room
             attempt_at(server)
             assert len(backends._open) <= budget
-            await until(lambda: len(ended) == 1)
+            await wait_until(lambda: len(ended) == 1)
             assert ended.pop() is interface.Status.DELIVERED
         assert sum(peer.connections for peer in peers) <= budget + COUNT
 
--- a/tests/test_stepped_processes.py
+++ b/tests/test_stepped_processes.py
@@ -22,11 +22,11 @@
     Process,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     raw_config,
     run,
-    until,
+    wait_until,
 )
 
 CLOCK_NAMES = {BEACON_NAME, LOCK_NAME, *PRESENCE_NAMES}
@@ -86,7 +86,9 @@
     await process.listening()
     client = await Client.at(process.address)
     while True:
-        status, _, _ = await client.send(ask(X_Contract="small", X_Metering="units=2,spread=3,first=0"))
+        status, _, _ = await client.send(
+            build_request(X_Contract="small", X_Metering="units=2,spread=3,first=0")
+        )
         assert status in (200, 429, 503)
         await asyncio.sleep(REQUEST_INTERVAL_S)
 
@@ -126,7 +128,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet(folder: Path, *steps_s: int) -> AsyncIterator[Fleet]:
-    server = await answering(OK)
+    server = await answering_server(OK)
     gateways = Fleet(folder, SharedCounter(), server.address)
     try:
         for step_s in steps_s:
@@ -142,7 +144,7 @@
 ) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, *steps_s) as gateways:
-            await until(lambda: gateways.counter.is_shared_by(0, 1, 2))
+            await wait_until(lambda: gateways.counter.is_shared_by(0, 1, 2))
 
     run(scenario())
 
@@ -152,10 +154,10 @@
 ) -> None:
     async def scenario() -> None:
         async with fleet(tmp_path, 0, 0, 0) as gateways:
-            await until(lambda: gateways.counter.is_shared_by(0, 1, 2))
+            await wait_until(lambda: gateways.counter.is_shared_by(0, 1, 2))
             await gateways.kill(0)
             gateways.counter.restart_empty()
             await gateways.add(100)
-            await until(lambda: gateways.counter.is_shared_by(1, 2, 3))
+            await wait_until(lambda: gateways.counter.is_shared_by(1, 2, 3))
 
     run(scenario())
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -30,15 +30,15 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     closed_port,
     entry,
     gateway,
     listing,
     read_message,
     run,
-    until,
+    wait_until,
 )
 from tests.support import MS, SECOND, policy_with_servers, request
 from tests.test_full_client_table import HEALTH
@@ -96,12 +96,14 @@
 ) -> None:
     # Each server that a shortage met was left out for a second and more, so the whole fleet seemed away.
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         made = gateway(one.address, two.address)
         faults = injected(monkeypatch, Fault(call, code, times=FOR_GOOD))
         client = await Client.to(made)
         for _ in range(3):
-            status, head, _ = await client.send(ask("post"))  # may not run twice, so it must be known not to
+            status, head, _ = await client.send(
+                build_request("post")
+            )  # may not run twice, so it must be known not to
             assert status == 503
             assert b"Retry-After" in head
         assert faults.counts[call] <= 3 * made._config.settings.limits.max_attempts  # no spin
@@ -113,7 +115,7 @@
             assert len(said) == 1
         faults.failing([])
         for _ in range(8):
-            assert (await client.send(ask("post")))[0] == 200
+            assert (await client.send(build_request("post")))[0] == 200
 
     caplog.set_level(logging.INFO)
     run(scenario())
@@ -124,11 +126,11 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         call = Call.SOCKET if code == errno.EMFILE else Call.CONNECT
         faults = injected(monkeypatch, Fault(call, code, times=2))
-        assert (await (await Client.to(made)).send(ask("post")))[0] == 200
+        assert (await (await Client.to(made)).send(build_request("post")))[0] == 200
         assert faults.raised[call] == 2
         assert len(server.requests) == 1
 
@@ -138,7 +140,7 @@
 def test_a_loop_that_cannot_watch_a_dial_is_held_against_no_server(monkeypatch: pytest.MonkeyPatch) -> None:
     # The error left the constructor with the socket open.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made, faults = make_backends(server.address), injected(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_writer", failing("add_writer"))
@@ -155,7 +157,7 @@
 ) -> None:
     # The error escaped into the loop, and the attempt waited out its time on a connection nobody read.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made, faults = make_backends(server.address), injected(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
@@ -179,7 +181,7 @@
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made, faults = make_backends(server.address), injected(monkeypatch, Fault(call, code))
         assert await run_attempt(made) is interface.Status.DIAL_FAILED
         assert faults.all_closed()
@@ -191,7 +193,7 @@
 def test_a_connect_that_a_signal_interrupts_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
     # It was taken for a server that accepts no connection, and the connection that came up was closed.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = make_backends(server.address)
         injected(monkeypatch, Fault(Call.CONNECT, errno.EINTR))
         assert await run_attempt(made) is interface.Status.DELIVERED
@@ -217,7 +219,7 @@
 ) -> None:
     # It may be the only way left to its server; any failed dial, also a refused one, closed the oldest.
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         made = make_backends(one.address, two.address)
         assert await run_attempt(made) is interface.Status.DELIVERED
         injected(monkeypatch, Fault(call, code))
@@ -233,7 +235,7 @@
 def test_a_server_that_refuses_costs_no_idle_connection_to_another() -> None:
     # As above, by the kernel's own refusal.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = make_backends(server.address, ("127.0.0.1", closed_port()))
         assert await run_attempt(made) is interface.Status.DELIVERED
         assert await run_attempt(made, server="s1") is interface.Status.DIAL_FAILED
@@ -245,16 +247,16 @@
 def test_a_table_of_connections_that_is_full_is_held_against_no_server() -> None:
     # Each server chosen while all descriptors for servers were in use was left out for a second and more.
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         made = gateway(one.address, two.address)
         budget, made.backends._max_connections = made.backends._max_connections, 0
         client = await Client.to(made)
-        status, head, _ = await client.send(ask("post"))
+        status, head, _ = await client.send(build_request("post"))
         assert status == 503
         assert b"Retry-After" in head
         assert not left_out(made)
         made.backends._max_connections = budget
-        assert (await client.send(ask("post")))[0] == 200
+        assert (await client.send(build_request("post")))[0] == 200
 
     run(scenario())
 
@@ -275,14 +277,14 @@
             before = len(told)
             for number in range(100):
                 made.call(counted(number))
-            await until(lambda: len(told) == before + 100)  # noqa: B023
+            await wait_until(lambda: len(told) == before + 100)  # noqa: B023
             now[0] += 3 * counter_module.MIN_RECONNECT_DELAY_NS // 2
         assert {answer.status for answer in told} == {interface.Status.UNUSED}
         assert faults.counts[call] == 8  # one dial for each pause, however many calls
         assert faults.all_closed()
         faults.failing([])
         made.call(counted(1000))
-        await until(lambda: len(told) == 801)
+        await wait_until(lambda: len(told) == 801)
         assert told[-1].status is interface.Status.DELIVERED
 
     run(scenario())
@@ -301,12 +303,12 @@
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
             made.call(counted(1))
-            await until(lambda: bool(told))
+            await wait_until(lambda: bool(told))
         assert told[0].status is interface.Status.UNUSED
         assert faults.all_closed()
         now[0] += 2 * counter_module.MIN_RECONNECT_DELAY_NS
         made.call(counted(2))
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert told[1].status is interface.Status.DELIVERED
 
     run(scenario())
@@ -322,7 +324,7 @@
         peer = await scripted(echoing)
         made, told = counter(peer.address)
         made.call(counted(1))
-        await until(lambda: len(told) == 1)
+        await wait_until(lambda: len(told) == 1)
         assert told[0].status is interface.Status.DIAL_FAILED
         assert made._reconnect_delay_ns == 2 * counter_module.MIN_RECONNECT_DELAY_NS
 
@@ -362,7 +364,7 @@
 ) -> None:
     # A signal, or a moment without buffers, was taken for a server that accepts no connection.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = make_backends(server.address)
         faults = injected(monkeypatch, Fault(Call.SEND, code, first=first), most_sent=16)
         assert await run_attempt(made) is status
@@ -379,17 +381,17 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         made = gateway(one.address, two.address)
         faults = injected(monkeypatch, Fault(Call.SEND, code, times=FOR_GOOD))
         client = await Client.to(made)
-        status, head, _ = await client.send(ask("post"))
+        status, head, _ = await client.send(build_request("post"))
         assert status == 503
         assert b"Retry-After" in head
         assert faults.counts[Call.SEND] <= made._config.settings.limits.max_attempts  # no spin
         assert not left_out(made)
         faults.failing([])
-        assert (await client.send(ask("post")))[0] == 200
+        assert (await client.send(build_request("post")))[0] == 200
         assert len(one.requests + two.requests) == 1
 
     run(scenario())
@@ -426,7 +428,7 @@
         injected(monkeypatch, Fault(Call.RECV, code, first=first), most_received=16)
         made, ended = make_backends(server.address), Results()
         made.start(make_attempt(ended))
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         got = ended[0]
         assert got[0] is status
         assert len(server.requests) == 1
@@ -445,18 +447,18 @@
     monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
         made, ended = make_backends(server.address), Results()
         made.start(make_attempt(ended))
-        await until(lambda: faults.raised[Call.RECV] > 0)
+        await wait_until(lambda: faults.raised[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.raised[Call.RECV] == 1
         faults.failing([])
         (connection,) = made._open
         assert connection.socket is not None
         read_retry.retry_read(made.loop, connection.socket, connection.on_readable, lambda: True)
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         assert ended[0][0] is interface.Status.DELIVERED
 
     run(scenario())
@@ -473,7 +475,7 @@
         peer = await scripted(echoing)
         made, _ = counter(peer.address)
         made.call(counted(1, 1.5))
-        await until(lambda: faults.raised[Call.RECV] > 0)
+        await wait_until(lambda: faults.raised[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.raised[Call.RECV] == 1
         made.close()
@@ -483,12 +485,12 @@
 
 def test_requests_and_answers_pass_byte_by_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         injected(monkeypatch, most_sent=1, most_received=1)
         client = await Client.to(made)
         for _ in range(3):
-            request = ask("post", body=b"some bytes")
+            request = build_request("post", body=b"some bytes")
             for place in range(len(request)):
                 client.writer.write(request[place : place + 1])
                 await client.writer.drain()
@@ -570,7 +572,7 @@
         assert not made.frontend._listener_watched  # no spin
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await resting.send(HEALTH)
-        await until(lambda: faults.counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
+        await wait_until(lambda: faults.counts[Call.ACCEPT] >= 5)  # again and again, with pauses between
         (said,) = [record.message for record in caplog.records if record.message.startswith("accept")]
         assert f"[Errno {code}]" in said
         assert ";" in said  # what can be done about it
@@ -619,19 +621,19 @@
 ) -> None:
     # The error left the loop's callback; the socket stayed open, unread, in no table.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         _, waiting = await resting_and_waiting(made)
         faults = listening(monkeypatch, made, Fault(call, code, times=FOR_GOOD))
         for client in waiting:
-            client.writer.write(ask("post"))
+            client.writer.write(build_request("post"))
         assert made.frontend._accept_batch()
         assert len(made.frontend.clients.open) == 4
         for client in waiting:
             assert (await client.answer())[0] == 200
-            assert (await client.send(ask("post")))[0] == 200
+            assert (await client.send(build_request("post")))[0] == 200
             client.writer.close()
-        await until(faults.all_closed)
+        await wait_until(faults.all_closed)
         assert len(made.frontend.clients.open) == 1
 
     run(scenario())
@@ -651,7 +653,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(made.frontend.loop, "connect_accepted_socket", attach)
             assert made.frontend._accept_batch()
-            await until(lambda: len(made.frontend.clients.open) == 1)
+            await wait_until(lambda: len(made.frontend.clients.open) == 1)
         assert faults.all_closed()
         for client in waiting:
             assert await client.reader.read() == b""
@@ -682,9 +684,9 @@
     client = await Client.to(made)
     if asked:
         assert (await client.send(HEALTH))[0] == 200
-    await until(lambda: [c.transport is not None for c in made.frontend.clients.open] == [True])
+    await wait_until(lambda: [c.transport is not None for c in made.frontend.clients.open] == [True])
     sock: socket.socket = client.writer.get_extra_info("socket")
-    os.write(sock.fileno(), ask("post"))  # before the loop turns again
+    os.write(sock.fileno(), build_request("post"))  # before the loop turns again
     return client, faults
 
 
@@ -714,7 +716,7 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client, faults = await come_but_not_read(monkeypatch, made, asked)
         faults.failing([Fault(Call.RECV, code)])
@@ -736,7 +738,7 @@
         client, faults = await come_but_not_read(monkeypatch, made, asked=True)
         faults.failing([Fault(Call.RECV, code, times=FOR_GOOD)])
         made.frontend.clients.make_room()
-        await until(lambda: not made.frontend.clients.open)
+        await wait_until(lambda: not made.frontend.clients.open)
         assert client.writer is not None
 
     run(scenario())
@@ -763,12 +765,12 @@
         poll = Blind
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client = await Client.to(made)
         monkeypatch.setattr(client_module, "select", Select)
         for _ in range(2):
-            assert (await client.send(ask("post")))[0] == 200
+            assert (await client.send(build_request("post")))[0] == 200
 
     run(scenario())
 
@@ -787,7 +789,7 @@
         made, told = counter(peer.address)
         for number in range(20):
             made.call(counted(number, number + 0.5))
-        await until(lambda: len(told) == 20)
+        await wait_until(lambda: len(told) == 20)
         assert [(answer.status, answer.total) for answer in told] == [
             (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
@@ -807,7 +809,7 @@
         made, told = counter(peer.address, 80 * MS)
         for number in range(20):
             made.call(counted(number))
-        await until(lambda: len(told) == 20)
+        await wait_until(lambda: len(told) == 20)
         assert {answer.status for answer in told} == {
             interface.Status.DIAL_FAILED
         }  # not written: nothing added
@@ -827,7 +829,7 @@
         made, told = counter(peer.address)
         for number in range(20):
             made.call(counted(number, number + 0.5))
-        await until(lambda: len(told) == 20)
+        await wait_until(lambda: len(told) == 20)
         assert [answer.total for answer in told] == [number + 0.5 for number in range(20)]
         assert {answer.status for answer in told} == {interface.Status.DELIVERED}
         assert peer.connections == 1
@@ -853,7 +855,7 @@
         made, told = counter(peer.address)
         made.call(counted(1))
         made.call(counted(2))
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert [answer.status for answer in told] == [interface.Status.EXPIRED, interface.Status.DIAL_FAILED]
 
     run(scenario())
@@ -872,7 +874,7 @@
         peer = await scripted(echoing)
         made, told = counter(peer.address)
         made.call(counted(1))
-        await until(lambda: bool(told))
+        await wait_until(lambda: bool(told))
         assert told[0].status is interface.Status.EXPIRED
         assert faults.all_closed()
 
@@ -888,12 +890,12 @@
         made, told = counter(peer.address, 80 * MS)
         made.call(counted(1))
         made.call(counted(2))
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert {answer.status for answer in told} == {interface.Status.DIAL_FAILED}
         made._wait_s = 20.0
         faults.failing([])
         made.call(counted(3))
-        await until(lambda: len(told) == 3)
+        await wait_until(lambda: len(told) == 3)
         assert told[2].status is interface.Status.DELIVERED
         assert [line.split()[1] for line in peer.requests] == [b"3"]
         assert peer.connections == 1
@@ -911,7 +913,7 @@
         made, told = counter(peer.address, 80 * MS)
         for number in (1, 2):
             made.call(counted(number))
-        await until(lambda: len(told) == 2)
+        await wait_until(lambda: len(told) == 2)
         assert {answer.name: answer.status for answer in told} == {
             1: interface.Status.EXPIRED,
             2: interface.Status.DIAL_FAILED,
@@ -919,7 +921,7 @@
         made._wait_s = 20.0
         faults.failing([])
         made.call(counted(3))
-        await until(lambda: len(told) == 3)
+        await wait_until(lambda: len(told) == 3)
         assert (told[2].name, told[2].status) == (3, interface.Status.DELIVERED)
         assert [line.split()[1] for line in peer.requests] == [b"1", b"3"]
 
@@ -988,7 +990,7 @@
     async def scenario() -> None:
         dials_that_fail(monkeypatch, code, times=200)
         peer, told = await watching(WHOLE)
-        await until(lambda: bool(told))
+        await wait_until(lambda: bool(told))
         assert len(pauses) == 200
         assert all(0.5 <= seconds / discovery.REOPEN_DELAY_S <= 1.5 for seconds in pauses)
         assert peer.connections == 1
@@ -1008,7 +1010,7 @@
     async def scenario() -> None:
         first_reads_that_fail(monkeypatch, code, times=20)
         peer, told = await watching(*([[]] * 20), WHOLE)
-        await until(lambda: bool(told))
+        await wait_until(lambda: bool(told))
         assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert peer.task is not None
         peer.task.cancel()
@@ -1028,7 +1030,7 @@
     async def scenario() -> None:
         first_reads_that_fail(monkeypatch, code, times=20)
         peer, told = await watching(*([[]] * 20), WHOLE)
-        await until(lambda: bool(told))
+        await wait_until(lambda: bool(told))
         least = 0.5 * discovery.MAX_REFUSED_DELAY_S if crowded else 0.0
         assert least <= max(pauses)
         assert max(pauses) <= (discovery.MAX_REFUSED_DELAY_S if crowded else 1.5 * discovery.REOPEN_DELAY_S)
@@ -1061,7 +1063,7 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 1 << 62)
 
     async def scenario() -> None:
-        one, two, told = await answering(OK), await answering(OK), await scripted(echoing)
+        one, two, told = await answering_server(OK), await answering_server(OK), await scripted(echoing)
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 2_000_000_000}
         made = gateway(
             one.address,
@@ -1077,7 +1079,7 @@
             made.backends._idle.clear()
             faults.failing([Fault(call, code, first=first, times=2)])
             clients = [await Client.to(made) for _ in range(3)]
-            kinds = [ask("post", X_Contract="small"), ask("post"), ask()]
+            kinds = [build_request("post", X_Contract="small"), build_request("post"), build_request()]
             for client, asked in zip(clients, kinds, strict=True):
                 client.writer.write(asked)
             for client in clients:
@@ -1086,7 +1088,7 @@
                 assert status in (200, 502) or b"Retry-After" in head
             for client in clients:
                 client.writer.close()
-            await until(lambda: not made.frontend.clients.open)
+            await wait_until(lambda: not made.frontend.clients.open)
         posts = [message for message in one.requests + two.requests if message.startswith(b"POST")]
         ids = [re.findall(rb"X-Correlation-Id: (\w+)", message)[0] for message in posts]
         assert len(ids) == len(set(ids))
@@ -1094,6 +1096,6 @@
         assert faults.raised[call]
         made.runtime._policy.servers.backends.clear()  # what was learned of the servers, rightly or not
         made.runtime.update_servers(change_from(listing(entry("s9", one.address))))
-        assert (await (await Client.to(made)).send(ask("post")))[0] == 200
+        assert (await (await Client.to(made)).send(build_request("post")))[0] == 200
 
     run(scenario())
--- a/tests/test_told_deadline.py
+++ b/tests/test_told_deadline.py
@@ -23,12 +23,12 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     gateway,
     read_message,
     run,
-    until,
+    wait_until,
 )
 from tests.test_gateway_clients import held_server
 
@@ -69,8 +69,10 @@
         server, release = await held_server()
         made = gateway(server.address)
         client = await Client.to(made)
-        client.writer.write(ask("post") + ask("post"))
-        await until(lambda: len(server.requests) == 1 and any(c.pending for c in made.frontend.clients.open))
+        client.writer.write(build_request("post") + build_request("post"))
+        await wait_until(
+            lambda: len(server.requests) == 1 and any(c.pending for c in made.frontend.clients.open)
+        )
         stepped.hold_up()
         release.set()
         assert await answered(client, 2) == [200, 200]
@@ -85,13 +87,13 @@
         server, release = await held_server()
         made = gateway(server.address)
         client = await Client.to(made)
-        client.writer.write(ask("post") + ask("post") + ask("post"))
-        await until(
+        client.writer.write(build_request("post") + build_request("post") + build_request("post"))
+        await wait_until(
             lambda: any(c.reading_paused for c in made.frontend.clients.open) and len(server.requests) == 1
         )
-        client.writer.write(ask("post"))
+        client.writer.write(build_request("post"))
         await asyncio.sleep(HELD_UP_S)
-        client.writer.write(ask("post"))
+        client.writer.write(build_request("post"))
         await asyncio.sleep(0.02)  # that one may wait for nothing
         release.set()
         assert await answered(client, 5) == [200] * 5
@@ -107,11 +109,11 @@
     stepped = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client = await Client.to(made)
         for _ in range(2):
-            client.writer.write(b"".join(ask("post") for _ in range(4)))
+            client.writer.write(b"".join(build_request("post") for _ in range(4)))
             assert await answered(client, 4) == [200] * 4
             stepped.hold_up()  # nothing is unread meanwhile
         assert min(told(request) for request in server.requests[4:]) > LEFT_S - HELD_UP_S
@@ -123,11 +125,11 @@
     monkeypatch.setattr(arrival_times, "last_data_age_ns", lambda sock: 3600 * clock.NS_PER_S)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         for _ in range(2):
             client = await Client.to(made)
-            assert (await client.send(ask("post", left="20.000")))[0] == 200
+            assert (await client.send(build_request("post", left="20.000")))[0] == 200
 
     run(scenario())
 
@@ -136,7 +138,7 @@
     stepped = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client = await Client.to(made)
         turn: Any = made.runtime._handle_events
@@ -148,7 +150,7 @@
 
         await asyncio.sleep(0)
         monkeypatch.setattr(made.runtime, "_handle_events", late)
-        status, _, _ = await client.send(ask("post"))
+        status, _, _ = await client.send(build_request("post"))
         assert status == 200
         assert no_more_than(LEFT_S - HELD_UP_S, server.requests[0])
 
@@ -157,11 +159,11 @@
 
 def test_to_one_that_lay_in_the_sockets_buffer_while_the_loop_was_held_up() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        assert (await client.send(ask("post")))[0] == 200
-        client.writer.write(ask("post"))
+        assert (await client.send(build_request("post")))[0] == 200
+        client.writer.write(build_request("post"))
         time.sleep(HELD_UP_S)  # nothing is read meanwhile
         assert (await client.answer())[0] == 200
         assert no_more_than(LEFT_S - HELD_UP_S, server.requests[1])
@@ -175,10 +177,10 @@
         made = gateway(server.address, limits=MORE)
         taken = [await Client.to(made) for _ in range(made.frontend.clients.budget)]
         for client in taken:
-            client.writer.write(ask("post"))
-        await until(lambda: len(server.requests) == len(taken))
+            client.writer.write(build_request("post"))
+        await wait_until(lambda: len(server.requests) == len(taken))
         late = await Client.to(made)
-        late.writer.write(ask("post"))
+        late.writer.write(build_request("post"))
         await asyncio.sleep(HELD_UP_S)
         release.set()
         for client in taken:
@@ -192,16 +194,16 @@
 
 def test_one_whose_time_is_over_before_it_is_taken_is_refused_and_never_forwarded() -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        assert (await client.send(ask("post")))[0] == 200
-        client.writer.write(ask("post", left="0.200"))
+        assert (await client.send(build_request("post")))[0] == 200
+        client.writer.write(build_request("post", left="0.200"))
         time.sleep(HELD_UP_S)  # nothing is read meanwhile
         status, head, _ = await client.answer()
         assert status == 429
         assert b"Retry-After: " in head
-        assert (await client.send(ask("post")))[0] == 200  # its connection is kept
+        assert (await client.send(build_request("post")))[0] == 200  # its connection is kept
         assert len(server.requests) == 2
 
     run(scenario())
@@ -230,10 +232,10 @@
     stepped = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(*[NOT_RUN] * (which - 1), OK)
+        server = await answering_server(*[NOT_RUN] * (which - 1), OK)
         made = gateway(server.address, server.address)
         Stalls(made, which, stepped.hold_up)
-        assert (await (await Client.to(made)).send(ask("post")))[0] == 200
+        assert (await (await Client.to(made)).send(build_request("post")))[0] == 200
         assert len(server.requests) == which
         assert no_more_than(LEFT_S - HELD_UP_S, server.requests[-1])
 
@@ -257,9 +259,9 @@
         made = gateway(server.address, server.address)
         client = await Client.to(made)
         for _ in range(QUICK):
-            assert (await client.send(ask()))[0] == 200
+            assert (await client.send(build_request()))[0] == 200
         stalls = Stalls(made, 2, stepped.hold_up)
-        assert (await client.send(ask()))[0] == 200
+        assert (await client.send(build_request()))[0] == 200
         assert stalls.seen == 2
         patience = OVERDUE_AIM_FRACTION * SETTINGS["classes"][0]["on-time-ns"] / clock.NS_PER_S
         assert no_more_than(LEFT_S - patience - HELD_UP_S, server.requests[-1])
@@ -272,10 +274,10 @@
     stepped = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(NOT_RUN)
+        server = await answering_server(NOT_RUN)
         made = gateway(server.address, server.address)
         Stalls(made, which, lambda: stepped.hold_up(LEFT_S))
-        status, head, _ = await (await Client.to(made)).send(ask("post"))
+        status, head, _ = await (await Client.to(made)).send(build_request("post"))
         assert (status, b"Retry-After: " in head) == (503, True)
         assert len(server.requests) == which - 1
         assert not made.runtime._policy.in_flight
@@ -300,11 +302,11 @@
     stepped = SteppedClock(monkeypatch)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         made = gateway(server.address)
         client = await Client.to(made)
-        client.writer.write(ask("post"))
-        await until(lambda: bool(held))
+        client.writer.write(build_request("post"))
+        await wait_until(lambda: bool(held))
         stepped.hold_up(late_s)
         held.pop()()
         status, _, _ = await client.answer()
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -26,7 +26,7 @@
     Process,
     Reader,
     Writer,
-    ask,
+    build_request,
     closed_port,
     entry,
     gateway,
@@ -34,7 +34,7 @@
     raw_config,
     read_message,
     run,
-    until,
+    wait_until,
 )
 
 HOUR_S = 3600
@@ -116,9 +116,9 @@
 async def followed(discovery: Discovery, known: dict[str, Any]) -> Gateway:
     """A gateway that has heard the first list, which holds this server."""
     made = gateway(discovery=discovery.place, known=listing(known, index=0))
-    await until(lambda: made.frontend.address[1] != 0 and len(discovery.peer.requests) == 1)
+    await wait_until(lambda: made.frontend.address[1] != 0 and len(discovery.peer.requests) == 1)
     discovery.tell(entry("first", NOBODY))
-    await until(lambda: knows(made, "first"))
+    await wait_until(lambda: knows(made, "first"))
     return made
 
 
@@ -133,7 +133,7 @@
         made = await followed(discovery, entry("old", NOBODY))
         before = clock.now()
         discovery.tell(entry("new", NOBODY, since_ms=unix_ms()))
-        await until(lambda: knows(made, "new"))
+        await wait_until(lambda: knows(made, "new"))
         after = clock.now()
         assert START_CAPACITY <= warmth(made, "new", after) <= warmth_after(after - before)
         halfway = after + COLD_NS // 2
@@ -160,7 +160,7 @@
         before = clock.now()
         restarted = entry("again", NOBODY, since_ms=unix_ms())
         discovery.tell(restarted, entry("marker", NOBODY), whole=whole)
-        await until(lambda: knows(made, "marker"))
+        await wait_until(lambda: knows(made, "marker"))
         after = clock.now()
         assert START_CAPACITY <= warmth(made, "again", after) <= warmth_after(after - before)
         assert warmth(made, "again", after + COLD_NS) == 1.0
@@ -195,10 +195,10 @@
         made = await followed(discovery, entry("old", NOBODY))
         before, since = clock.now(), unix_ms()
         discovery.tell(entry("new", NOBODY, since_ms=since))
-        await until(lambda: knows(made, "new"))
+        await wait_until(lambda: knows(made, "new"))
         jumped = 0 if jump_ms is None else since + jump_ms
         discovery.tell(entry("new", NOBODY, since_ms=jumped), entry("marker", NOBODY))
-        await until(lambda: knows(made, "marker"))
+        await wait_until(lambda: knows(made, "marker"))
         after = clock.now()
         assert warmth(made, "new", after) <= warmth_after(after - before)
         assert warmth(made, "new", after + COLD_NS) == 1.0
@@ -214,9 +214,9 @@
         made = await followed(discovery, back)
         discovery.tell(entry("back", NOBODY, "Gone"))
         discovery.tell(entry("marker", NOBODY), whole=True)
-        await until(lambda: not knows(made, "stays") and not knows(made, "back"))
+        await wait_until(lambda: not knows(made, "stays") and not knows(made, "back"))
         discovery.tell(back, stays)
-        await until(lambda: knows(made, "stays"))
+        await wait_until(lambda: knows(made, "stays"))
         assert warmth(made, "back", clock.now()) == warmth(made, "stays", clock.now()) == 1.0
 
     run(scenario())
@@ -260,7 +260,7 @@
     """Ask until a server has got a request: whatever made it the one to choose has been heard by then."""
     before = server.received
     while server.received == before:
-        assert (await client.send(ask()))[0] in (200, 503)
+        assert (await client.send(build_request()))[0] in (200, 503)
 
 
 async def sent_at_once_to(new: HoldingServer, old: HoldingServer, process: Process) -> int:
@@ -269,8 +269,8 @@
     before = new.received, new.received + old.received
     clients = [await Client.at(process.address) for _ in range(AT_ONCE)]
     for client in clients:
-        client.writer.write(ask(left="4.000"))
-    await until(lambda: new.received + old.received >= before[1] + AT_ONCE)
+        client.writer.write(build_request(left="4.000"))
+    await wait_until(lambda: new.received + old.received >= before[1] + AT_ONCE)
     return new.received - before[0]
 
 
@@ -299,7 +299,7 @@
             await reach(client, old)
             if running:
                 os.kill(process.pid, signal.SIGUSR1)
-                await until(lambda: "stepped by" in process.log())
+                await wait_until(lambda: "stepped by" in process.log())
             discovery.tell(entry("new", new.peer.address, since_ms=unix_ms()))
             discovery.tell(
                 entry("old", old.peer.address, "Terminating"), entry("marker", marker.peer.address)
@@ -348,14 +348,14 @@
         settings=SETTINGS | {"specifics": SETTINGS["specifics"] | {"has-counter": True}},
     )
     client = await Client.to(made)
-    assert (await client.send(ask()))[0] == 200  # it takes in clients once it has the first list
+    assert (await client.send(build_request()))[0] == 200  # it takes in clients once it has the first list
     return made
 
 
 async def calls_for(made: Gateway, counter: Peer, customer: int) -> int:
     """Calls of the counter that the first request of a customer causes: the even share does not cover it."""
     before = len(counter.requests)
-    heavy = ask(X_Contract="small", X_Metering="units=6,spread=3,first=1")
+    heavy = build_request(X_Contract="small", X_Metering="units=6,spread=3,first=1")
     heavy = heavy.replace(b"00000000b4d65521", b"%016x" % customer)
     status, _, _ = await (await Client.to(made)).send(heavy)
     assert status in (200, 429)
@@ -376,12 +376,12 @@
         counts = [await calls_for(made, counter, 1) > 0]
         for number in (1, 2):
             discovery.tell(entry(f"new{number}", NOBODY, "Terminating", unix_ms()))
-            await until(lambda name=f"new{number}": knows(made, name))  # type: ignore[misc]
+            await wait_until(lambda name=f"new{number}": knows(made, name))  # type: ignore[misc]
             counts.append(await calls_for(made, counter, 1 + number) > 0)
         assert counts == [True, True, step_s == 0]
         # A start whose time fits, as after the servers' clocks were set, not this machine's: shared again.
         discovery.tell(entry("new3", NOBODY, "Terminating", clock.now() // clock.NS_PER_MS))
-        await until(lambda: knows(made, "new3"))
+        await wait_until(lambda: knows(made, "new3"))
         assert await calls_for(made, counter, 4) > 0
 
     run(scenario())
@@ -419,11 +419,11 @@
             counter=f"{counter.address[0]}:{counter.address[1]}",
             settings=SETTINGS | {"specifics": SETTINGS["specifics"] | {"has-counter": True}},
         )
-        client, spent = await Client.to(made), ask(X_Contract="small")
+        client, spent = await Client.to(made), build_request(X_Contract="small")
         assert (await client.send(spent))[0] == 200
         (customer,) = made.runtime._policy.quotas.customers.values()
         discovery.tell(entry("new", NOBODY, since_ms=unix_ms()))
-        await until(lambda: knows(made, "new"))
+        await wait_until(lambda: knows(made, "new"))
         since = time.monotonic_ns()
         before = clock.now()
         warm_before = warmth(made, "new", before)
@@ -439,7 +439,7 @@
         assert customer.count_name(after) in near
         assert (await client.send(spent))[0] == 409  # an id seen of late
         server.holds = True
-        status, head, _ = await (await Client.to(made)).send(ask("post", left="0.300"))
+        status, head, _ = await (await Client.to(made)).send(build_request("post", left="0.300"))
         # The attempt may have run: it has failed, in its time.  Nor is its time over before it has passed.
         assert status not in (200, 429, 503), head
         assert 0.2 * clock.NS_PER_S <= clock.now() - after < 20 * clock.NS_PER_S
