--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -34,15 +34,15 @@
     Peer,
     Reader,
     Writer,
-    answering,
-    ask,
+    answering_server,
+    build_request,
     closed_port,
     entry,
     gateway,
     listing,
     read_message,
     run,
-    until,
+    wait_until,
 )
 from tests.support import MS, SECOND, policy_with_servers, request
 from tests.test_full_client_table import HEALTH
@@ -101,13 +101,13 @@
     # Each server whose connect failed for a local shortage was once avoided for a second and more, so that
     # all servers seemed to be unreachable.
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         gw = gateway(one.address, two.address)
         faults = inject_faults(monkeypatch, Fault(call, code, times=FOREVER))
         client = await Client.to(gw)
         for _ in range(3):
             # An unsafe request may be refused only because it is known not to have run.
-            status, head, _ = await client.send(ask("post"))
+            status, head, _ = await client.send(build_request("post"))
             assert status == 503
             assert b"Retry-After" in head
         assert faults.call_counts[call] <= 3 * gw._config.settings.limits.max_attempts  # no busy loop
@@ -119,7 +119,7 @@
             assert len(said) == 1
         faults.replace_faults([])
         for _ in range(8):
-            assert (await client.send(ask("post")))[0] == 200
+            assert (await client.send(build_request("post")))[0] == 200
 
     caplog.set_level(logging.INFO)
     run(scenario())
@@ -130,11 +130,11 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         call = Call.SOCKET if code == errno.EMFILE else Call.CONNECT
         faults = inject_faults(monkeypatch, Fault(call, code, times=2))
-        assert (await (await Client.to(gw)).send(ask("post")))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request("post")))[0] == 200
         assert faults.fault_counts[call] == 2
         assert len(server.requests) == 1
 
@@ -146,7 +146,7 @@
 ) -> None:
     # The error once escaped from the constructor and left the socket open.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool, faults = make_backends(server.address), inject_faults(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_writer", out_of_memory("add_writer"))
@@ -163,7 +163,7 @@
 ) -> None:
     # The error once escaped into the loop, and the attempt timed out on a connection that nothing read.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool, faults = make_backends(server.address), inject_faults(monkeypatch)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", out_of_memory("add_reader"))
@@ -187,7 +187,7 @@
     call: Call, code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool, faults = make_backends(server.address), inject_faults(monkeypatch, Fault(call, code))
         assert await run_attempt(pool) is interface.Status.DIAL_FAILED
         assert faults.all_closed()
@@ -199,7 +199,7 @@
 def test_a_connect_interrupted_by_a_signal_continues(monkeypatch: pytest.MonkeyPatch) -> None:
     # The interrupt once counter_call as a connect failure, and the connection was closed once established.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address)
         inject_faults(monkeypatch, Fault(Call.CONNECT, errno.EINTR))
         assert await run_attempt(pool) is interface.Status.DELIVERED
@@ -226,7 +226,7 @@
     # It may be the only way left to reach its server.  Any failed connect, even a refused one, once closed
     # the oldest idle connection.
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         pool = make_backends(one.address, two.address)
         assert await run_attempt(pool) is interface.Status.DELIVERED
         inject_faults(monkeypatch, Fault(call, code))
@@ -242,7 +242,7 @@
 def test_a_refused_connect_does_not_close_an_idle_connection_to_another_server() -> None:
     # As above, with a refusal by the kernel instead of an injected one.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address, ("127.0.0.1", closed_port()))
         assert await run_attempt(pool) is interface.Status.DELIVERED
         assert await run_attempt(pool, server="s1") is interface.Status.DIAL_FAILED
@@ -254,16 +254,16 @@
 def test_the_connection_limit_does_not_count_against_a_server() -> None:
     # Each server chosen while all connections to servers were in use was once avoided for a second and more.
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         gw = gateway(one.address, two.address)
         budget, gw.backends._max_connections = gw.backends._max_connections, 0
         client = await Client.to(gw)
-        status, head, _ = await client.send(ask("post"))
+        status, head, _ = await client.send(build_request("post"))
         assert status == 503
         assert b"Retry-After" in head
         assert not avoided_servers(gw)
         gw.backends._max_connections = budget
-        assert (await client.send(ask("post")))[0] == 200
+        assert (await client.send(build_request("post")))[0] == 200
 
     run(scenario())
 
@@ -284,14 +284,14 @@
             before = len(answers)
             for number in range(100):
                 counter_client.call(counter_call(number))
-            await until(lambda: len(answers) == before + 100)  # noqa: B023
+            await wait_until(lambda: len(answers) == before + 100)  # noqa: B023
             now[0] += 3 * counter_module.MIN_RECONNECT_DELAY_NS // 2
         assert {answer.status for answer in answers} == {interface.Status.UNUSED}
         assert faults.call_counts[call] == 8  # one connect for each pause, however many calls
         assert faults.all_closed()
         faults.replace_faults([])
         counter_client.call(counter_call(1000))
-        await until(lambda: len(answers) == 801)
+        await wait_until(lambda: len(answers) == 801)
         assert answers[-1].status is interface.Status.DELIVERED
 
     run(scenario())
@@ -310,12 +310,12 @@
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", out_of_memory("add_reader"))
             counter_client.call(counter_call(1))
-            await until(lambda: bool(answers))
+            await wait_until(lambda: bool(answers))
         assert answers[0].status is interface.Status.UNUSED
         assert faults.all_closed()
         now[0] += 2 * counter_module.MIN_RECONNECT_DELAY_NS
         counter_client.call(counter_call(2))
-        await until(lambda: len(answers) == 2)
+        await wait_until(lambda: len(answers) == 2)
         assert answers[1].status is interface.Status.DELIVERED
 
     run(scenario())
@@ -331,7 +331,7 @@
         peer = await scripted(echoing)
         counter_client, answers = counter(peer.address)
         counter_client.call(counter_call(1))
-        await until(lambda: len(answers) == 1)
+        await wait_until(lambda: len(answers) == 1)
         assert answers[0].status is interface.Status.DIAL_FAILED
         assert counter_client._reconnect_delay_ns == 2 * counter_module.MIN_RECONNECT_DELAY_NS
 
@@ -371,7 +371,7 @@
 ) -> None:
     # A signal, or a temporary lack of buffers, once counter_call as a server that accepts no connection.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         pool = make_backends(server.address)
         faults = inject_faults(monkeypatch, Fault(Call.SEND, code, first=first), max_sent=16)
         assert await run_attempt(pool) is status
@@ -388,17 +388,17 @@
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        one, two = await answering(OK), await answering(OK)
+        one, two = await answering_server(OK), await answering_server(OK)
         gw = gateway(one.address, two.address)
         faults = inject_faults(monkeypatch, Fault(Call.SEND, code, times=FOREVER))
         client = await Client.to(gw)
-        status, head, _ = await client.send(ask("post"))
+        status, head, _ = await client.send(build_request("post"))
         assert status == 503
         assert b"Retry-After" in head
         assert faults.call_counts[Call.SEND] <= gw._config.settings.limits.max_attempts  # no busy loop
         assert not avoided_servers(gw)
         faults.replace_faults([])
-        assert (await client.send(ask("post")))[0] == 200
+        assert (await client.send(build_request("post")))[0] == 200
         assert len(one.requests + two.requests) == 1
 
     run(scenario())
@@ -435,7 +435,7 @@
         inject_faults(monkeypatch, Fault(Call.RECV, code, first=first), max_received=16)
         pool, results = make_backends(server.address), Results()
         pool.start(make_attempt(results))
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         got = results[0]
         assert got[0] is status
         assert len(server.requests) == 1
@@ -450,22 +450,23 @@
 def test_reads_from_a_server_pause_while_there_are_no_buffers(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The loop once retried the read in each turn, at the full load of a core, until the attempt timed out.
+    # The loop once retried the read in each turn, at the full load of a core, wait_until the attempt timed
+    # out.
     monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         faults = inject_faults(monkeypatch, Fault(Call.RECV, code, times=FOREVER))
         pool, results = make_backends(server.address), Results()
         pool.start(make_attempt(results))
-        await until(lambda: faults.fault_counts[Call.RECV] > 0)
+        await wait_until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.fault_counts[Call.RECV] == 1
         faults.replace_faults([])
         (connection,) = pool._open
         assert connection.socket is not None
         read_retry.retry_read(pool.loop, connection.socket, connection.on_readable, lambda: True)
-        await until(lambda: bool(results))
+        await wait_until(lambda: bool(results))
         assert results[0][0] is interface.Status.DELIVERED
 
     run(scenario())
@@ -482,7 +483,7 @@
         peer = await scripted(echoing)
         counter_client, _ = counter(peer.address)
         counter_client.call(counter_call(1, 1.5))
-        await until(lambda: faults.fault_counts[Call.RECV] > 0)
+        await wait_until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
         assert faults.fault_counts[Call.RECV] == 1
         counter_client.close()
@@ -492,12 +493,12 @@
 
 def test_requests_and_answers_may_be_transferred_byte_by_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         inject_faults(monkeypatch, max_sent=1, max_received=1)
         client = await Client.to(gw)
         for _ in range(3):
-            request = ask("post", body=b"some bytes")
+            request = build_request("post", body=b"some bytes")
             for place in range(len(request)):
                 client.writer.write(request[place : place + 1])
                 await client.writer.drain()
@@ -580,7 +581,7 @@
         assert not gw.frontend._listener_watched  # no busy loop
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
             await idle.send(HEALTH)
-        await until(lambda: faults.call_counts[Call.ACCEPT] >= 5)  # retried, with pauses between
+        await wait_until(lambda: faults.call_counts[Call.ACCEPT] >= 5)  # retried, with pauses between
         (said,) = [record.message for record in caplog.records if record.message.startswith("accept")]
         assert f"[Errno {code}]" in said
         assert ";" in said  # advice for the operator
@@ -632,19 +633,19 @@
 ) -> None:
     # The error once escaped from the loop's callback, and the socket stayed open, neither read nor listed.
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         _, waiting = await idle_and_waiting_clients(gw)
         faults = inject_into_listener(monkeypatch, gw, Fault(call, code, times=FOREVER))
         for client in waiting:
-            client.writer.write(ask("post"))
+            client.writer.write(build_request("post"))
         assert gw.frontend._accept_batch()
         assert len(gw.frontend.clients.open) == 4
         for client in waiting:
             assert (await client.answer())[0] == 200
-            assert (await client.send(ask("post")))[0] == 200
+            assert (await client.send(build_request("post")))[0] == 200
             client.writer.close()
-        await until(faults.all_closed)
+        await wait_until(faults.all_closed)
         assert len(gw.frontend.clients.open) == 1
 
     run(scenario())
@@ -664,7 +665,7 @@
         with monkeypatch.context() as patch:
             patch.setattr(gw.frontend.loop, "connect_accepted_socket", attach)
             assert gw.frontend._accept_batch()
-            await until(lambda: len(gw.frontend.clients.open) == 1)
+            await wait_until(lambda: len(gw.frontend.clients.open) == 1)
         assert faults.all_closed()
         for client in waiting:
             assert await client.reader.read() == b""
@@ -695,9 +696,9 @@
     client = await Client.to(gw)
     if asked:
         assert (await client.send(HEALTH))[0] == 200
-    await until(lambda: [c.transport is not None for c in gw.frontend.clients.open] == [True])
+    await wait_until(lambda: [c.transport is not None for c in gw.frontend.clients.open] == [True])
     sock: socket.socket = client.writer.get_extra_info("socket")
-    os.write(sock.fileno(), ask("post"))  # before the next turn of the loop
+    os.write(sock.fileno(), build_request("post"))  # before the next turn of the loop
     return client, faults
 
 
@@ -727,7 +728,7 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client, faults = await client_with_unread_request(monkeypatch, gw, asked)
         faults.replace_faults([Fault(Call.RECV, code)])
@@ -749,7 +750,7 @@
         client, faults = await client_with_unread_request(monkeypatch, gw, asked=True)
         faults.replace_faults([Fault(Call.RECV, code, times=FOREVER)])
         gw.frontend.clients.make_room()
-        await until(lambda: not gw.frontend.clients.open)
+        await wait_until(lambda: not gw.frontend.clients.open)
         assert client.writer is not None
 
     run(scenario())
@@ -776,12 +777,12 @@
         poll = FailingPoll
 
     async def scenario() -> None:
-        server = await answering(OK)
+        server = await answering_server(OK)
         gw = gateway(server.address)
         client = await Client.to(gw)
         monkeypatch.setattr(client_module, "select", Select)
         for _ in range(2):
-            assert (await client.send(ask("post")))[0] == 200
+            assert (await client.send(build_request("post")))[0] == 200
 
     run(scenario())
 
@@ -800,7 +801,7 @@
         counter_client, answers = counter(peer.address)
         for number in range(20):
             counter_client.call(counter_call(number, number + 0.5))
-        await until(lambda: len(answers) == 20)
+        await wait_until(lambda: len(answers) == 20)
         assert [(answer.status, answer.total) for answer in answers] == [
             (interface.Status.DELIVERED, number + 0.5) for number in range(20)
         ]
@@ -820,7 +821,7 @@
         counter_client, answers = counter(peer.address, 80 * MS)
         for number in range(20):
             counter_client.call(counter_call(number))
-        await until(lambda: len(answers) == 20)
+        await wait_until(lambda: len(answers) == 20)
         assert {answer.status for answer in answers} == {
             interface.Status.DIAL_FAILED
         }  # not written, so nothing was added
@@ -840,7 +841,7 @@
         counter_client, answers = counter(peer.address)
         for number in range(20):
             counter_client.call(counter_call(number, number + 0.5))
-        await until(lambda: len(answers) == 20)
+        await wait_until(lambda: len(answers) == 20)
         assert [answer.total for answer in answers] == [number + 0.5 for number in range(20)]
         assert {answer.status for answer in answers} == {interface.Status.DELIVERED}
         assert peer.connections == 1
@@ -866,7 +867,7 @@
         counter_client, answers = counter(peer.address)
         counter_client.call(counter_call(1))
         counter_client.call(counter_call(2))
-        await until(lambda: len(answers) == 2)
+        await wait_until(lambda: len(answers) == 2)
         assert [answer.status for answer in answers] == [
             interface.Status.EXPIRED,
             interface.Status.DIAL_FAILED,
@@ -888,7 +889,7 @@
         peer = await scripted(echoing)
         counter_client, answers = counter(peer.address)
         counter_client.call(counter_call(1))
-        await until(lambda: bool(answers))
+        await wait_until(lambda: bool(answers))
         assert answers[0].status is interface.Status.EXPIRED
         assert faults.all_closed()
 
@@ -904,12 +905,12 @@
         counter_client, answers = counter(peer.address, 80 * MS)
         counter_client.call(counter_call(1))
         counter_client.call(counter_call(2))
-        await until(lambda: len(answers) == 2)
+        await wait_until(lambda: len(answers) == 2)
         assert {answer.status for answer in answers} == {interface.Status.DIAL_FAILED}
         counter_client._wait_s = 20.0
         faults.replace_faults([])
         counter_client.call(counter_call(3))
-        await until(lambda: len(answers) == 3)
+        await wait_until(lambda: len(answers) == 3)
         assert answers[2].status is interface.Status.DELIVERED
         assert [line.split()[1] for line in peer.requests] == [b"3"]
         assert peer.connections == 1
@@ -928,7 +929,7 @@
         counter_client, answers = counter(peer.address, 80 * MS)
         for number in (1, 2):
             counter_client.call(counter_call(number))
-        await until(lambda: len(answers) == 2)
+        await wait_until(lambda: len(answers) == 2)
         assert {answer.name: answer.status for answer in answers} == {
             1: interface.Status.EXPIRED,
             2: interface.Status.DIAL_FAILED,
@@ -936,7 +937,7 @@
         counter_client._wait_s = 20.0
         faults.replace_faults([])
         counter_client.call(counter_call(3))
-        await until(lambda: len(answers) == 3)
+        await wait_until(lambda: len(answers) == 3)
         assert (answers[2].name, answers[2].status) == (3, interface.Status.DELIVERED)
         assert [line.split()[1] for line in peer.requests] == [b"1", b"3"]
 
@@ -1005,7 +1006,7 @@
     async def scenario() -> None:
         fail_first_connects(monkeypatch, code, times=200)
         peer, changes = await watching(FULL_LIST)
-        await until(lambda: bool(changes))
+        await wait_until(lambda: bool(changes))
         assert len(pauses) == 200
         assert all(0.5 <= seconds / discovery.REOPEN_DELAY_S <= 1.5 for seconds in pauses)
         assert peer.connections == 1
@@ -1025,7 +1026,7 @@
     async def scenario() -> None:
         fail_first_reads(monkeypatch, code, times=20)
         peer, changes = await watching(*([[]] * 20), FULL_LIST)
-        await until(lambda: bool(changes))
+        await wait_until(lambda: bool(changes))
         assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert peer.task is not None
         peer.task.cancel()
@@ -1045,7 +1046,7 @@
     async def scenario() -> None:
         fail_first_reads(monkeypatch, code, times=20)
         peer, changes = await watching(*([[]] * 20), FULL_LIST)
-        await until(lambda: bool(changes))
+        await wait_until(lambda: bool(changes))
         least = 0.5 * discovery.MAX_REFUSED_DELAY_S if crowded else 0.0
         assert least <= max(pauses)
         assert max(pauses) <= (discovery.MAX_REFUSED_DELAY_S if crowded else 1.5 * discovery.REOPEN_DELAY_S)
@@ -1078,7 +1079,11 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 1 << 62)
 
     async def scenario() -> None:
-        one, two, counter_peer = await answering(OK), await answering(OK), await scripted(echoing)
+        one, two, counter_peer = (
+            await answering_server(OK),
+            await answering_server(OK),
+            await scripted(echoing),
+        )
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 2_000_000_000}
         gw = gateway(
             one.address,
@@ -1094,7 +1099,7 @@
             gw.backends._idle.clear()
             faults.replace_faults([Fault(call, code, first=first, times=2)])
             clients = [await Client.to(gw) for _ in range(3)]
-            kinds = [ask("post", X_Contract="small"), ask("post"), ask()]
+            kinds = [build_request("post", X_Contract="small"), build_request("post"), build_request()]
             for client, asked in zip(clients, kinds, strict=True):
                 client.writer.write(asked)
             for client in clients:
@@ -1103,7 +1108,7 @@
                 assert status in (200, 502) or b"Retry-After" in head
             for client in clients:
                 client.writer.close()
-            await until(lambda: not gw.frontend.clients.open)
+            await wait_until(lambda: not gw.frontend.clients.open)
         posts = [message for message in one.requests + two.requests if message.startswith(b"POST")]
         ids = [re.findall(rb"X-Correlation-Id: (\w+)", message)[0] for message in posts]
         assert len(ids) == len(set(ids))
@@ -1111,6 +1116,6 @@
         assert faults.fault_counts[call]
         gw.runtime._policy.servers.backends.clear()  # forget what was learned of the servers
         gw.runtime.update_servers(change_from(listing(entry("s9", one.address))))
-        assert (await (await Client.to(gw)).send(ask("post")))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request("post")))[0] == 200
 
     run(scenario())
