--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -152,7 +152,7 @@
     report_names: tuple[str, ...]  # values to take from the load reports of servers
     probe_reports: bool
     has_counter: bool
-    counter_wait_ns: int  # for an answer of the shared counter
+    counter_wait_ns: int  # longest wait for an answer of the shared counter
     counter_price: float
     meter_ns: int
     max_units: float  # of one request
