--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -1,4 +1,7 @@
-"""Servers that accept no connection: whom the list still names, though nobody is there."""
+"""Tests of how the policy treats servers that accept no connections though the server list still has them.
+
+This happens during a release, for instance, while the list is not yet up to date.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
     dead: set[str],
     status: interface.Status = interface.Status.DIAL_FAILED,
 ) -> list[str]:
-    """Play one request to its end; the servers tried."""
+    """Run one request to its end and return the servers tried, in order."""
     tried = sent_to(policy.handle(now, [request(number)]))
     while tried and tried[-1] in dead:
         more = sent_to(policy.handle(now, [outcome(number, len(tried) - 1, status)]))
@@ -31,15 +34,16 @@
     return tried
 
 
-def test_further_tries_after_refused_connections_need_no_budget() -> None:
-    # During a release many servers are gone before the list says so, and the budget was spent on them.
+def test_retries_after_refused_connections_do_not_use_the_retry_budget() -> None:
+    # During a release many servers are gone before the list says so; such retries once used up the retry
+    # budget.
     policy = policy_with_servers(server("alive"), server("dead1"), server("dead2"))
     policy.retry_budget.level = 0.0
     for number in range(30):
         assert try_all(policy, number, number * 3 * SECOND, {"dead1", "dead2"})[-1] == "alive"
 
 
-def test_a_server_that_refuses_connections_is_left_alone_for_longer_each_time() -> None:
+def test_a_server_that_refuses_connections_is_avoided_for_longer_each_time() -> None:
     policy, times = policy_with_servers(server("alive"), server("dead")), []
     for n in range(600):
         # Slower than the other server, which is therefore preferred whenever it is not left out.
@@ -53,8 +57,8 @@
     assert gaps[-1] > 3 * gaps[0]
 
 
-def test_attempts_that_never_left_need_no_budget_and_leave_no_server_out() -> None:
-    # A shortage of this host was held against each server that it met, and the whole fleet was left out.
+def test_unsent_attempts_use_no_retry_budget_and_count_against_no_server() -> None:
+    # A shortage on the gateway's host once counted against each server chosen, until all were avoided.
     policy = policy_with_servers(server("s1"), server("s2"))
     policy.retry_budget.level = 0.0
     try_all(policy, 1, 0, {"s1", "s2"}, interface.Status.UNUSED)
@@ -68,7 +72,7 @@
     assert len(try_all(policy, 3, 2 * MS, set())) == 1
 
 
-def test_it_is_used_again_once_told_to_have_started() -> None:
+def test_an_avoided_server_is_used_again_once_the_list_reports_its_restart() -> None:
     policy = policy_with_servers(server("s1"), server("s2"))
     for n in range(8):
         try_all(policy, n, n * MS, {"s1"})
@@ -78,7 +82,7 @@
     assert "s1" in used
 
 
-def test_where_all_refuse_they_are_tried_all_the_same() -> None:
+def test_servers_are_still_tried_if_all_of_them_refuse_connections() -> None:
     policy = policy_with_servers(server("s1"), server("s2"))
     for n in range(6):
         assert try_all(policy, n, n * MS, {"s1", "s2"})
