--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Scripted peers and a gateway in this process for the tests over loopback sockets."""
+"""Helpers of the tests over loopback sockets: scripted peers, clients, and gateways in and out of process."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 Writer: TypeAlias = asyncio.StreamWriter
 Handler = Callable[[Reader, Writer], Awaitable[None]]
 
-TEST_TIMEOUT_S = 30.0  # for the whole of a test: only a failure waits so long
+TEST_TIMEOUT_S = 30.0  # for a whole test: only one that fails takes so long
 BODY = b'{"balance": 7}'
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(BODY), BODY)
 NOT_RUN = b"HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
@@ -52,7 +52,7 @@
 
 
 def run(scenario: Coroutine[Any, Any, T]) -> T:
-    """Play a scenario on the loop that the gateway uses."""
+    """Run a scenario on the kind of event loop that the gateway uses."""
 
     async def bounded() -> T:
         async with asyncio.timeout(TEST_TIMEOUT_S):
@@ -62,14 +62,14 @@
 
 
 def closed_port() -> int:
-    """A port where nobody listens: the kernel hands out another one to whoever asks next."""
+    """A port on which nothing listens: the kernel gives the next socket another one."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
 def entry(name: str, address: Address, status: str = "Ready", since_ms: int = 0) -> dict[str, Any]:
-    """One server in discovery's form."""
+    """One server as discovery lists it."""
     return {
         "name": name,
         "address": f"{address[0]}:{address[1]}",
@@ -83,34 +83,34 @@
 
 
 def listing(*entries: dict[str, Any], index: int = 1, snapshot: bool = True) -> dict[str, Any]:
-    """A list in discovery's form."""
+    """A list as discovery sends it."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
 def raw_config(*servers: Address, **changes: Any) -> dict[str, Any]:
-    """A configuration as the file holds it; discovery is down unless it is given."""
-    named = [entry(f"s{number}", address) for number, address in enumerate(servers)]
+    """The content of a configuration file; discovery is down unless its address is given."""
+    entries = [entry(f"s{number}", address) for number, address in enumerate(servers)]
     base = {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": f"127.0.0.1:{closed_port()}",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
-        "known": listing(*named),
+        "known": listing(*entries),
         "settings": SETTINGS,
     }
     return base | changes
 
 
 def gateway(*servers: Address, **changes: Any) -> Gateway:
-    """A gateway that serves, with these servers known."""
-    made = Gateway(asyncio.get_running_loop(), config_from(raw_config(*servers, **changes)))
-    made.start()
-    return made
+    """A gateway that serves, with these servers in its configuration."""
+    gw = Gateway(asyncio.get_running_loop(), config_from(raw_config(*servers, **changes)))
+    gw.start()
+    return gw
 
 
 class Peer:
-    """A listening peer that plays one script for each connection and keeps what it has read."""
+    """A listener that runs a script for each connection and keeps the requests that the script records."""
 
     def __init__(self, script: Callable[[Peer, Reader, Writer], Awaitable[None]]) -> None:
         self.script = script
@@ -118,7 +118,8 @@
         self.connections = 0
         self.address: Address = ("", 0)
         self.writers: list[Writer] = []
-        self.task: asyncio.Future[None] | None = None  # whoever needs this peer, kept from being collected
+        # The task that uses this peer, if any: a reference keeps it from being garbage-collected.
+        self.task: asyncio.Future[None] | None = None
 
     async def start(self) -> Peer:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -137,7 +138,7 @@
 
 
 async def answering_server(*answers: bytes) -> Peer:
-    """A server that gives these answers in turn, the last one again and again; empty: it just hangs up."""
+    """A server that sends these answers in turn, then the last one again; an empty one ends a connection."""
     left = list(answers)
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
@@ -152,7 +153,7 @@
 
 
 async def silent_server() -> Peer:
-    """A server that reads and never answers; it notes the end of each connection."""
+    """A server that reads and never answers; it records an empty request when a connection ends."""
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
         peer.requests.append(await read_message(reader))
@@ -163,7 +164,7 @@
 
 
 async def read_message(reader: Reader) -> bytes:
-    """One whole HTTP message with a stated length."""
+    """Read one HTTP message; its length is stated in the head."""
     head = await reader.readuntil(b"\r\n\r\n")
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length:"):
@@ -171,14 +172,14 @@
     return head
 
 
-_serial = iter(range(1, 1 << 30))
+_request_ids = iter(range(1, 1 << 30))
 
 
 def build_request(kind: str = "look", left: str = "2.000", body: bytes = b"", **changes: str | None) -> bytes:
-    """A client's request; ``changes`` name headers with _ for -, none leaves one out."""
+    """A client's request; ``changes`` name header fields, with _ for -, and None leaves one out."""
     headers: dict[str, str | None] = {
         "Host": "service.internal",
-        "X-Correlation-Id": f"{next(_serial):016x}",
+        "X-Correlation-Id": f"{next(_request_ids):016x}",
         "X-Service-Class": kind,
         "X-Contract": "free",
         "X-Time-Left": left,
@@ -194,7 +195,7 @@
 
 
 class Client:
-    """One connection to a gateway."""
+    """One client connection to a gateway."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -208,7 +209,7 @@
         return cls(*await asyncio.open_connection(*address))
 
     async def send(self, request: bytes) -> tuple[int, bytes, bytes]:
-        """Status, head and body of the answer."""
+        """Send a request; return status, head and body of the answer."""
         self.writer.write(request)
         return await self.answer()
 
@@ -218,7 +219,7 @@
 
 
 class Process:
-    """A gateway in a process of its own, as the deploy file runs it; killed at the end of the block."""
+    """A gateway in a process of its own, run as in the deploy file; killed at the end of the block."""
 
     def __init__(
         self, folder: Path, config: dict[str, Any], module: str = "gingerworks.gateway", **environment: str
@@ -242,35 +243,35 @@
         self.kill()
 
     def kill(self) -> None:
-        """End it, as a machine that dies does."""
+        """End it without warning, as if its machine failed."""
         self._process.kill()
         self._process.wait()
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Send SIGTERM."""
         self._process.terminate()
 
     def wait(self) -> int:
-        """Wait for its end; the exit code."""
+        """Wait for its end and return the exit code."""
         return self._process.wait(TEST_TIMEOUT_S)
 
     def exit_code(self) -> int | None:
-        """None while it runs."""
+        """The exit code, or None while it runs."""
         return self._process.poll()
 
     def log(self) -> str:
-        """All that it has said."""
+        """All that it has logged."""
         return self._log.read_text()
 
     async def listening(self) -> None:
-        """Wait until it listens, and learn where."""
-        while not (where := re.search(r"listening on ([\d.]+):(\d+)", self.log())):
+        """Wait until it listens, and note its address."""
+        while not (match := re.search(r"listening on ([\d.]+):(\d+)", self.log())):
             assert self._process.poll() is None, self.log()
             await asyncio.sleep(0.005)
-        self.address = where[1], int(where[2])
+        self.address = match[1], int(match[2])
 
     def descriptors(self) -> int:
-        """How many it holds open."""
+        """The number of its open file descriptors."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
     def processor_s(self) -> float:
@@ -279,7 +280,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def wait_until(holds: Callable[[], bool]) -> None:
-    """Let the loop turn until something holds; the test's time bounds it."""
-    while not holds():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds; the time-out of the test limits it."""
+    while not condition():
         await asyncio.sleep(0.002)
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -152,7 +152,7 @@
     """Stall the process: time passes without a turn of the event loop."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, virtual_time.VirtualLoop)
-    loop.virtual.skipped_s = seconds
+    loop.virtual_selector.skipped_s = seconds
 
 
 def forwarded_time_left_s(request: bytes) -> float:
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -43,8 +43,8 @@
 from tests.support import MS, SECOND, policy_with_servers, request
 from tests.test_full_client_table import HEALTH
 from tests.test_gateway_attempts import Results, make_attempt, make_backends, run_attempt
+from tests.test_gateway_counter import answer_each_call, make_counter_client, start_peer
 from tests.test_gateway_counter import call as counted
-from tests.test_gateway_counter import counter, echoing, scripted
 from tests.test_gateway_discovery import line, watching
 
 FOR_GOOD = 1 << 30
@@ -271,8 +271,8 @@
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(call, code, times=FOR_GOOD))
-        peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address)
         for _ in range(8):
             before = len(told)
             for number in range(100):
@@ -298,8 +298,8 @@
     monkeypatch.setattr(clock, "now", lambda: now[0])
 
     async def scenario() -> None:
-        faults, peer = injected(monkeypatch), await scripted(echoing)
-        made, told = counter(peer.address)
+        faults, peer = injected(monkeypatch), await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", failing("add_reader"))
             made.call(counted(1))
@@ -321,8 +321,8 @@
     async def scenario() -> None:
         code = errno.ECONNREFUSED if refused else errno.ETIMEDOUT
         injected(monkeypatch, Fault(Call.SO_ERROR, code, times=FOR_GOOD))
-        peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address)
         made.call(counted(1))
         await wait_until(lambda: len(told) == 1)
         assert told[0].status is interface.Status.DIAL_FAILED
@@ -472,8 +472,8 @@
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.RECV, code, times=FOR_GOOD))
-        peer = await scripted(echoing)
-        made, _ = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        made, _ = make_counter_client(peer.address)
         made.call(counted(1, 1.5))
         await wait_until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
@@ -785,8 +785,8 @@
     # The connection was given up, and with it each call that was out counted as one that may have been added.
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.SEND, code, first=first, times=2), max_sent=7)
-        peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address)
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await wait_until(lambda: len(told) == 20)
@@ -805,8 +805,8 @@
 
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.SEND, errno.ENOBUFS, times=FOR_GOOD))
-        peer = await scripted(echoing)
-        made, told = counter(peer.address, 80 * MS)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address, 80 * MS)
         for number in range(20):
             made.call(counted(number))
         await wait_until(lambda: len(told) == 20)
@@ -825,8 +825,8 @@
 ) -> None:
     async def scenario() -> None:
         injected(monkeypatch, Fault(Call.RECV, code, first=first), max_received=3)
-        peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address)
         for number in range(20):
             made.call(counted(number, number + 0.5))
         await wait_until(lambda: len(told) == 20)
@@ -851,8 +851,8 @@
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
-        peer = await scripted(script)
-        made, told = counter(peer.address)
+        peer = await start_peer(script)
+        made, told = make_counter_client(peer.address)
         made.call(counted(1))
         made.call(counted(2))
         await wait_until(lambda: len(told) == 2)
@@ -871,8 +871,8 @@
 ) -> None:
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.RECV, code))
-        peer = await scripted(echoing)
-        made, told = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address)
         made.call(counted(1))
         await wait_until(lambda: bool(told))
         assert told[0].status is interface.Status.EXPIRED
@@ -886,8 +886,8 @@
     # that adds nothing, and was written and added all the same once the connection could carry it.
     async def scenario() -> None:
         faults = injected(monkeypatch, Fault(Call.SEND, errno.EAGAIN, times=FOR_GOOD))
-        peer = await scripted(echoing)
-        made, told = counter(peer.address, 80 * MS)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address, 80 * MS)
         made.call(counted(1))
         made.call(counted(2))
         await wait_until(lambda: len(told) == 2)
@@ -909,8 +909,8 @@
         half = len(counted_line()) // 2
         fault = Fault(Call.SEND, errno.EAGAIN, first=2, times=FOR_GOOD)
         faults = injected(monkeypatch, fault, max_sent=half)
-        peer = await scripted(echoing)
-        made, told = counter(peer.address, 80 * MS)
+        peer = await start_peer(answer_each_call)
+        made, told = make_counter_client(peer.address, 80 * MS)
         for number in (1, 2):
             made.call(counted(number))
         await wait_until(lambda: len(told) == 2)
@@ -1063,7 +1063,11 @@
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 1 << 62)
 
     async def scenario() -> None:
-        one, two, told = await answering_server(OK), await answering_server(OK), await scripted(echoing)
+        one, two, told = (
+            await answering_server(OK),
+            await answering_server(OK),
+            await start_peer(answer_each_call),
+        )
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 2_000_000_000}
         made = gateway(
             one.address,
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""A loop whose clock jumps to the next timer while no socket has anything to say: hours pass in no time."""
+"""An event loop on virtual time: its clock jumps to the next timer when no socket is ready."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 T = TypeVar("T")
 
-TURNS_MOST = 2_000_000  # of the loop: only a failure takes so many
+MAX_TURNS = 2_000_000  # of the event loop: only a test that fails takes so many
 
 
 class _Selector(selectors.DefaultSelector):  # type: ignore[misc, valid-type, unused-ignore]
-    """Never waits: loopback sockets hold what was written to them as soon as the write has returned."""
+    """Never waits: data written to a loopback socket is readable as soon as the write has returned."""
 
     skipped_s = 0.0
     turns = 0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """What is ready; where nothing is, the time that would have been waited has passed."""
+        """Return what is ready; if nothing is, add the time-out to the virtual time."""
         self.turns += 1
-        if self.turns > TURNS_MOST:
+        if self.turns > MAX_TURNS:
             raise TimeoutError("the scenario does not end")
         ready: list[Any] = super().select(0)
         if not ready and timeout:
@@ -32,18 +32,18 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """The standard loop on virtual time, in seconds from 0."""
+    """The standard event loop on virtual time, in seconds from 0."""
 
     def __init__(self) -> None:
-        self.virtual = _Selector()
-        super().__init__(self.virtual)
+        self.virtual_selector = _Selector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        """Seconds that timers have passed."""
-        return self.virtual.skipped_s
+        """The virtual time."""
+        return self.virtual_selector.skipped_s
 
 
 def run(scenario: Coroutine[Any, Any, T]) -> T:
-    """Play a scenario on virtual time."""
+    """Run a scenario on virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(scenario)
