--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -47,8 +47,8 @@
 from tests.support import MS, SECOND, policy_with_servers, request
 from tests.test_full_client_table import HEALTH
 from tests.test_gateway_attempts import Results, make_attempt, make_backends, run_attempt
+from tests.test_gateway_counter import answer_each_call, make_counter_client, start_peer
 from tests.test_gateway_counter import call as counter_call
-from tests.test_gateway_counter import counter, echoing, scripted
 from tests.test_gateway_discovery import line, watching
 
 FOREVER = 1 << 30
@@ -278,8 +278,8 @@
 
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(call, code, times=FOREVER))
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address)
         for _ in range(8):
             before = len(answers)
             for number in range(100):
@@ -305,8 +305,8 @@
     monkeypatch.setattr(clock, "now", lambda: now[0])
 
     async def scenario() -> None:
-        faults, peer = inject_faults(monkeypatch), await scripted(echoing)
-        counter_client, answers = counter(peer.address)
+        faults, peer = inject_faults(monkeypatch), await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address)
         with monkeypatch.context() as patch:
             patch.setattr(asyncio.get_running_loop(), "add_reader", out_of_memory("add_reader"))
             counter_client.call(counter_call(1))
@@ -328,8 +328,8 @@
     async def scenario() -> None:
         code = errno.ECONNREFUSED if refused else errno.ETIMEDOUT
         inject_faults(monkeypatch, Fault(Call.SO_ERROR, code, times=FOREVER))
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address)
         counter_client.call(counter_call(1))
         await wait_until(lambda: len(answers) == 1)
         assert answers[0].status is interface.Status.DIAL_FAILED
@@ -480,8 +480,8 @@
 
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.RECV, code, times=FOREVER))
-        peer = await scripted(echoing)
-        counter_client, _ = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        counter_client, _ = make_counter_client(peer.address)
         counter_client.call(counter_call(1, 1.5))
         await wait_until(lambda: faults.fault_counts[Call.RECV] > 0)
         await asyncio.sleep(0.05)
@@ -797,8 +797,8 @@
     # The error once closed the connection, and each call in flight counter_call as possibly added.
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.SEND, code, first=first, times=2), max_sent=7)
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address)
         for number in range(20):
             counter_client.call(counter_call(number, number + 0.5))
         await wait_until(lambda: len(answers) == 20)
@@ -817,8 +817,8 @@
 
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.SEND, errno.ENOBUFS, times=FOREVER))
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address, 80 * MS)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address, 80 * MS)
         for number in range(20):
             counter_client.call(counter_call(number))
         await wait_until(lambda: len(answers) == 20)
@@ -837,8 +837,8 @@
 ) -> None:
     async def scenario() -> None:
         inject_faults(monkeypatch, Fault(Call.RECV, code, first=first), max_received=3)
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address)
         for number in range(20):
             counter_client.call(counter_call(number, number + 0.5))
         await wait_until(lambda: len(answers) == 20)
@@ -863,8 +863,8 @@
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
-        peer = await scripted(script)
-        counter_client, answers = counter(peer.address)
+        peer = await start_peer(script)
+        counter_client, answers = make_counter_client(peer.address)
         counter_client.call(counter_call(1))
         counter_client.call(counter_call(2))
         await wait_until(lambda: len(answers) == 2)
@@ -886,8 +886,8 @@
 ) -> None:
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.RECV, code))
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address)
         counter_client.call(counter_call(1))
         await wait_until(lambda: bool(answers))
         assert answers[0].status is interface.Status.EXPIRED
@@ -901,8 +901,8 @@
     # counter_call as not added; it was once written and added all the same when the connection was ready.
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.SEND, errno.EAGAIN, times=FOREVER))
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address, 80 * MS)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address, 80 * MS)
         counter_client.call(counter_call(1))
         counter_client.call(counter_call(2))
         await wait_until(lambda: len(answers) == 2)
@@ -925,8 +925,8 @@
         half = len(call_line()) // 2
         fault = Fault(Call.SEND, errno.EAGAIN, first=2, times=FOREVER)
         faults = inject_faults(monkeypatch, fault, max_sent=half)
-        peer = await scripted(echoing)
-        counter_client, answers = counter(peer.address, 80 * MS)
+        peer = await start_peer(answer_each_call)
+        counter_client, answers = make_counter_client(peer.address, 80 * MS)
         for number in (1, 2):
             counter_client.call(counter_call(number))
         await wait_until(lambda: len(answers) == 2)
@@ -1082,7 +1082,7 @@
         one, two, counter_peer = (
             await answering_server(OK),
             await answering_server(OK),
-            await scripted(echoing),
+            await start_peer(answer_each_call),
         )
         specifics = SETTINGS["specifics"] | {"has-counter": True, "count-wait-ns": 2_000_000_000}
         gw = gateway(
