--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -514,8 +514,11 @@
 
     def _open_new(self, endpoint: Endpoint, attempt: Attempt) -> Connection:
         if len(self._open) >= self._max_connections and not self._close_oldest_idle():
-            text = f"all {self._max_connections} connections are in use"
-            raise DialError(DialFailure.LOCAL, f"{text}; raise limits.sockets or run more gateways")
+            text = (
+                f"all {self._max_connections} connections are in use; "
+                "raise limits.sockets or run more gateways"
+            )
+            raise DialError(DialFailure.LOCAL, text)
         connection = Connection(self, endpoint, attempt)
         self._logged_shortage = ""
         self._open.add(connection)
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -197,7 +197,7 @@
 
 
 def test_a_connect_interrupted_by_a_signal_continues(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The interrupt once counter_call as a connect failure, and the connection was closed once established.
+    # The interrupt once counted as a connect failure, and the connection was closed once established.
     async def scenario() -> None:
         server = await answering_server(OK)
         pool = make_backends(server.address)
@@ -369,7 +369,7 @@
 def test_a_request_that_cannot_be_fully_written_never_ran(
     code: int, status: interface.Status, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A signal, or a temporary lack of buffers, once counter_call as a server that accepts no connection.
+    # A signal, or a temporary lack of buffers, once counted as a server that accepts no connection.
     async def scenario() -> None:
         server = await answering_server(OK)
         pool = make_backends(server.address)
@@ -425,7 +425,7 @@
 def test_reading_an_answer_continues_after_a_temporary_error_and_ends_at_a_broken_connection(
     code: int, status: interface.Status, first: int, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A signal, or a temporary lack of memory, once counter_call as a reset, and an available answer was lost.
+    # A signal, or a temporary lack of memory, once counted as a reset, and an available answer was lost.
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             peer.requests.append(await read_message(reader))
@@ -538,8 +538,7 @@
 def test_a_connection_lost_before_accept_does_not_affect_others(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Such a connection once counter_call as a shortage: idle clients were closed, and none accepted for 20
-    # ms.
+    # Such a connection once counted as a shortage: idle clients were closed, and none accepted for 20 ms.
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
@@ -675,7 +674,7 @@
 
 
 def test_watching_the_listener_is_retried_after_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    # After the error the listener once counter_call as watched, and no further client was accepted.
+    # After the error the listener once counted as watched, and no further client was accepted.
     async def scenario() -> None:
         gw = gateway()
         await idle_and_waiting_clients(gw)
@@ -724,7 +723,7 @@
 def test_an_unread_request_is_answered_if_peeking_at_it_fails_temporarily(
     code: int, closing_event: Callable[[Gateway], None], asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Any error when peeking for unread data once counter_call as "no data", and the connection was closed.
+    # Any error when peeking for unread data once counted as "no data", and the connection was closed.
     monkeypatch.setattr(client_table, "EVICTION_GRACE_NS", 0)
 
     async def scenario() -> None:
@@ -794,7 +793,7 @@
 def test_writing_counter_calls_continues_after_a_temporary_error(
     code: int, first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The error once closed the connection, and each call in flight counter_call as possibly added.
+    # The error once closed the connection, and each call in flight counted as possibly added.
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.SEND, code, first=first, times=2), max_sent=7)
         peer = await start_peer(answer_each_call)
@@ -822,9 +821,8 @@
         for number in range(20):
             counter_client.call(counter_call(number))
         await wait_until(lambda: len(answers) == 20)
-        assert {answer.status for answer in answers} == {
-            interface.Status.DIAL_FAILED
-        }  # not written, so nothing was added
+        # The calls were not written, so nothing was added.
+        assert {answer.status for answer in answers} == {interface.Status.DIAL_FAILED}
         assert faults.call_counts[Call.SEND] == 1
 
     run(scenario())
@@ -898,7 +896,7 @@
 
 def test_a_call_reported_as_not_added_is_not_written_later(monkeypatch: pytest.MonkeyPatch) -> None:
     # A call that timed out while its connection was being established, or before anything could be written,
-    # counter_call as not added; it was once written and added all the same when the connection was ready.
+    # counted as not added; it was once written and added all the same when the connection was ready.
     async def scenario() -> None:
         faults = inject_faults(monkeypatch, Fault(Call.SEND, errno.EAGAIN, times=FOREVER))
         peer = await start_peer(answer_each_call)
@@ -919,8 +917,7 @@
 
 
 def test_a_partly_written_call_counts_as_possibly_added(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A call that timed out in the middle of its line once counter_call as not added, and its rest was written
-    # later.
+    # A call that timed out in the middle of its line once counted as not added; the rest was written later.
     async def scenario() -> None:
         half = len(call_line()) // 2
         fault = Fault(Call.SEND, errno.EAGAIN, first=2, times=FOREVER)
@@ -1022,7 +1019,7 @@
 def test_a_discovery_call_ended_by_a_local_shortage_is_not_a_refusal(
     code: int, pauses: list[float], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It once counter_call as overload of discovery: pauses grew to 3 s, as after refused calls.
+    # It once counted as overload of discovery: pauses grew to 3 s, as after refused calls.
     async def scenario() -> None:
         fail_first_reads(monkeypatch, code, times=20)
         peer, changes = await watching(*([[]] * 20), FULL_LIST)
