--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery and configuration: the watch over loopback sockets, and what is malformed."""
+"""Discovery and configuration: the watch over loopback sockets, malformed lists and wrong settings."""
 
 from __future__ import annotations
 
@@ -38,13 +38,16 @@
 
 
 def line(message: dict[str, Any]) -> bytes:
-    """One line of a watch, as two chunks: they need not end where lines do."""
+    """One line of a watch in two chunks: chunks need not end where lines do."""
     text = json.dumps(message).encode() + b"\n"
     return b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (text[:9], text[9:]))
 
 
-async def watching(*connections: list[bytes]) -> tuple[Peer, list[Change]]:
-    """A discovery that says these things, a list a connection, and hangs up after all but the last."""
+async def start_watched_discovery(*connections: list[bytes]) -> tuple[Peer, list[Change]]:
+    """A watch of a discovery that sends each of these to one connection and closes all but the last.
+
+    Returns discovery and the changes that the watch reports.
+    """
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
         number = peer.connections
@@ -54,20 +57,20 @@
             await reader.read()
 
     peer = await Peer(script).start()
-    told: list[Change] = []
-    peer.task = asyncio.ensure_future(Watch(peer.address, 5, 7, told.append).run())
-    return peer, told
+    changes: list[Change] = []
+    peer.task = asyncio.ensure_future(Watch(peer.address, 5, 7, changes.append).run())
+    return peer, changes
 
 
-def test_a_watch_that_ends_is_reopened_where_it_was() -> None:
+def test_a_watch_that_ends_is_reopened_from_the_known_version() -> None:
     async def scenario() -> None:
         first = [line(listing(entry("a", ("127.0.0.1", 1)), index=6)), b"1\r\n\n\r\n"]
         second = [line(listing(entry("a", ("127.0.0.1", 1), "Gone"), index=7, snapshot=False))]
-        peer, told = await watching(first, second)
-        await wait_until(lambda: len(told) == 2)
+        peer, changes = await start_watched_discovery(first, second)
+        await wait_until(lambda: len(changes) == 2)
         assert peer.requests == [b"/catalog/members?follow=1&since=5", b"/catalog/members?follow=1&since=6"]
-        assert [(c.index, c.full) for c in told] == [(6, True), (7, False)]
-        assert told[1].endpoints[0].server.phase is interface.Phase.GONE
+        assert [(c.index, c.full) for c in changes] == [(6, True), (7, False)]
+        assert changes[1].endpoints[0].server.phase is interface.Phase.GONE
 
     run(scenario())
 
@@ -75,43 +78,45 @@
 @pytest.mark.parametrize(
     "junk", [b"{nonsense}", b"[]", b'{"index":"x","endpoints":[]}', b"\xff\xfe", b"[" * 9000]
 )
-def test_after_junk_the_whole_list_is_asked_for(junk: bytes) -> None:
+def test_after_an_invalid_line_the_whole_list_is_requested(junk: bytes) -> None:
     async def scenario() -> None:
         bad = [b"%x\r\n%b\n\r\n" % (len(junk) + 1, junk)]
-        peer, told = await watching(bad, [line(listing(index=9))])
-        await wait_until(lambda: len(told) == 1)
+        peer, changes = await start_watched_discovery(bad, [line(listing(index=9))])
+        await wait_until(lambda: len(changes) == 1)
         assert peer.requests[1] == b"/catalog/members?follow=1&since=0"
 
     run(scenario())
 
 
-def test_a_version_that_was_far_too_high_does_not_shut_out_what_comes_later() -> None:
+def test_a_version_that_was_far_too_high_does_not_rule_out_later_changes() -> None:
     async def scenario() -> None:
         first = [line(listing(index=1 << 50)), line(listing(index=8, snapshot=False))]
-        peer, told = await watching(first, [line(listing(entry("a", ("127.0.0.1", 1)), index=9))])
-        await wait_until(lambda: len(told) == 2)
+        peer, changes = await start_watched_discovery(
+            first, [line(listing(entry("a", ("127.0.0.1", 1)), index=9))]
+        )
+        await wait_until(lambda: len(changes) == 2)
         assert peer.requests[1] == b"/catalog/members?follow=1&since=0"
-        assert told[1].endpoints[0].server.name == "a"
+        assert changes[1].endpoints[0].server.name == "a"
 
     run(scenario())
 
 
-def test_a_fault_in_what_follows_a_change_does_not_end_the_watch() -> None:
+def test_an_error_in_the_handling_of_a_change_does_not_end_the_watch() -> None:
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             writer.write(HEAD + line(listing(index=7)))
             await reader.read()
 
         peer = await Peer(script).start()
-        told: list[Change] = []
+        changes: list[Change] = []
 
-        def hears(change: Change) -> None:
-            told.append(change)
-            if len(told) == 1:
-                raise KeyError("made up")
+        def on_change(change: Change) -> None:
+            changes.append(change)
+            if len(changes) == 1:
+                raise KeyError("raised by the test")
 
-        task = asyncio.ensure_future(Watch(peer.address, 5, 7, hears).run())
-        await wait_until(lambda: len(told) == 2)
+        task = asyncio.ensure_future(Watch(peer.address, 5, 7, on_change).run())
+        await wait_until(lambda: len(changes) == 2)
         task.cancel()
 
     run(scenario())
@@ -141,7 +146,7 @@
         7,
         {},
         good | {"name": ""},
-        good | {"weight": 10**400},  # no float holds it: the watch failed on it again and again
+        good | {"weight": 10**400},  # too large for a float: the watch failed on it again and again
         good | {"status": "Odd"},
         good | {"address": "nowhere"},
         good | {"since_ms": "x"},
@@ -151,14 +156,14 @@
     assert change.endpoints[0].server.size == 1.0
 
 
-def test_start_times_are_on_the_modules_clock() -> None:
+def test_start_times_are_on_the_gateways_clock() -> None:
     since = int(time.time() * 1000) - 5000
     server = change_from(listing(entry("a", ("127.0.0.1", 1), since_ms=since))).endpoints[0].server
     assert abs(clock.now() - server.started_ns - 5 * clock.NS_PER_S) < clock.NS_PER_S
     assert change_from(listing(entry("a", ("127.0.0.1", 1)))).endpoints[0].server.started_ns == 0
 
 
-def test_the_watch_tells_of_a_server_that_took_over() -> None:
+def test_a_server_that_replaces_another_gets_the_requests() -> None:
     async def scenario() -> None:
         old, new = await answering_server(OK), await answering_server(OK)
 
@@ -167,9 +172,9 @@
             await reader.read()
 
         peer = await Peer(script).start()
-        made = gateway(old.address, discovery=f"{peer.address[0]}:{peer.address[1]}")
-        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["s9"])
-        assert (await (await Client.to(made)).send(build_request()))[0] == 200
+        gw = gateway(old.address, discovery=f"{peer.address[0]}:{peer.address[1]}")
+        await wait_until(lambda: [s.name for s in gw.backends.servers()] == ["s9"])
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
         assert len(new.requests) == 1
 
     run(scenario())
@@ -192,12 +197,12 @@
 
 
 def changed_settings(path: str, value: object) -> dict[str, Any]:
-    """A configuration with one setting changed; numbers in the path count in lists."""
+    """A configuration with one setting changed; numbers in the path are list indices."""
     raw = json.loads(json.dumps(raw_config()))
-    *ways, last = path.split(".")
+    *parents, last = path.split(".")
     inner: Any = raw["settings"]
-    for way in ways:
-        inner = inner[int(way) if way.isdigit() else way]
+    for parent in parents:
+        inner = inner[int(parent) if parent.isdigit() else parent]
     inner[int(last) if last.isdigit() else last] = value
     return dict(raw)
 
@@ -236,7 +241,7 @@
 
 
 @pytest.mark.parametrize("content", [None, "{", "[]", "{}"])
-def test_the_command_says_what_is_wrong_and_exits(content: str | None, tmp_path: Path) -> None:
+def test_the_command_reports_a_wrong_configuration_and_exits(content: str | None, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     if content is not None:
         file.write_text(content)
@@ -254,9 +259,9 @@
     assert done.stderr.count("\n") == 1
 
 
-def pauses_of(seed: int, gateways: int, status: bytes, count: int) -> list[float]:
-    """The pauses of one watch that is answered like this each time."""
-    paused: list[float] = []
+def delays_of(seed: int, gateways: int, status: bytes, count: int) -> list[float]:
+    """The delays of one watch all of whose requests get this answer."""
+    delays: list[float] = []
 
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
@@ -264,8 +269,8 @@
             writer.write(status)
 
         async def pause(seconds: float) -> None:
-            paused.append(seconds)
-            if len(paused) == count:
+            delays.append(seconds)
+            if len(delays) == count:
                 raise asyncio.CancelledError
 
         peer = await Peer(script).start()
@@ -276,72 +281,74 @@
                 await watch.run()
 
     run(scenario())
-    return paused
+    return delays
 
 
-TURNED_AWAY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+REFUSAL = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_a_discovery_that_turns_watches_away_is_asked_less_and_less() -> None:
-    # A refusal once counted as a sign of life: 40 gateways asked five times a second each, and got nothing.
-    # The pauses grow no further than the time in which a change counts as told allows.
+def test_the_delay_after_refusals_grows_up_to_its_limit() -> None:
+    # After refusals, the watch was reopened without a growing delay: 40 gateways sent five requests a second
+    # each, and got nothing.  The delays are limited by the time within which a change must be known.
     for gateways, first in ((1, 0.4), (40, discovery.MAX_REFUSED_DELAY_S)):
-        paused = [pauses_of(seed, gateways, TURNED_AWAY, 6) for seed in range(20)]
-        for number, each in enumerate(zip(*paused, strict=True)):
+        delays = [delays_of(seed, gateways, REFUSAL, 6) for seed in range(20)]
+        for number, each in enumerate(zip(*delays, strict=True)):
             bound = min(first * 2**number, discovery.MAX_REFUSED_DELAY_S)
             assert 0.5 * bound <= min(each)
             assert max(each) <= bound
 
 
-def test_a_large_fleet_comes_back_spread_out_after_being_refused() -> None:
-    # No part of the time in which all come back gets many more than its share.
+def test_the_requests_of_a_large_fleet_are_spread_after_refusals() -> None:
+    # No part of the time in which all gateways return gets many more requests than its share.
     least = 0.5 * discovery.MAX_REFUSED_DELAY_S
-    firsts = [pauses_of(seed, 200, TURNED_AWAY, 1)[0] for seed in range(100)]
+    firsts = [delays_of(seed, 200, REFUSAL, 1)[0] for seed in range(100)]
     fifths = [sum(n <= 5 * (first / least - 1) < n + 1 for first in firsts) for n in range(5)]
     assert sum(fifths) == 100
     assert min(fifths) >= 8
     assert max(fifths) <= 35
 
 
-def test_a_gateway_of_a_large_fleet_asks_at_its_start_what_counts_as_told() -> None:
-    # Waiting up to 20 s by chance, as one of 200, broke the rule on drains 1,556 times on one day.
+def test_a_gateway_of_a_large_fleet_requests_the_list_without_delay_at_its_start() -> None:
+    # With a random delay of up to 20 s before the first request, in a fleet of 200, requests were sent to
+    # servers after their drain's grace period, 1,556 times in one day.
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             writer.write(HEAD + line(listing(index=6)))
             await reader.read()
 
         async def pause(seconds: float) -> None:
-            raise AssertionError(f"waits {seconds} s before it asks")
+            raise AssertionError(f"waits {seconds} s before the first request")
 
         peer = await Peer(script).start()
-        told: list[Change] = []
+        changes: list[Change] = []
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery, "pause", pause)
-            task = asyncio.ensure_future(Watch(peer.address, 5, 7, told.append, 200).run())
-            await wait_until(lambda: bool(told) or task.done())
-        assert [change.index for change in told] == [6]
+            task = asyncio.ensure_future(Watch(peer.address, 5, 7, changes.append, 200).run())
+            await wait_until(lambda: bool(changes) or task.done())
+        assert [change.index for change in changes] == [6]
         task.cancel()
 
     run(scenario())
 
 
-def test_a_watch_that_was_served_is_reopened_at_once_however_large_the_fleet() -> None:
-    # What the agent has counts as told, watch or no watch: a pause of 0.5 to 1.5 s outlasted a drain's grace.
+def test_a_watch_that_was_served_is_reopened_soon_however_large_the_fleet() -> None:
+    # The gateway is expected to know what the agent knows, even without a watch: a delay of 0.5 to 1.5 s was
+    # longer than the grace period of a draining server.
     ends = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-    paused = pauses_of(3, 200, ends, 20)
-    assert all(0.0 < each <= 0.1 for each in paused)
-    assert max(paused) - min(paused) > 0.02
+    delays = delays_of(3, 200, ends, 20)
+    assert all(0.0 < each <= 0.1 for each in delays)
+    assert max(delays) - min(delays) > 0.02
 
 
-def test_an_agent_that_is_not_there_is_looked_for_without_long_pauses(
+def test_an_unreachable_agent_is_tried_again_without_long_delays(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Nobody is crowded by that, and what it has at its return counts as told at once.
-    paused: list[float] = []
+    # That loads no one, and the gateway is expected to know what the agent knows once it is back.
+    delays: list[float] = []
 
     async def pause(seconds: float) -> None:
-        paused.append(seconds)
-        if len(paused) == 20:
+        delays.append(seconds)
+        if len(delays) == 20:
             raise asyncio.CancelledError
 
     async def scenario() -> None:
@@ -351,41 +358,41 @@
 
     monkeypatch.setattr(discovery, "pause", pause)
     run(scenario())
-    assert max(paused) <= 0.1
+    assert max(delays) <= 0.1
 
 
 @pytest.mark.parametrize(
-    "said", [b"", HEAD, HEAD + line(listing(index=6))], ids=["nothing", "a head", "a list"]
+    "sent", [b"", HEAD, HEAD + line(listing(index=6))], ids=["nothing", "a head", "a list"]
 )
-def test_after_silence_the_next_call_follows_at_once(said: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Silence is noticed after 5 s and what it hides counts as told after 6: no pause of 1.5 s fits between.
-    # A call that was never answered once waited 2 to 6 s more, then 4 to 12.
+def test_after_silence_the_next_request_follows_soon(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    # Silence was noticed after 5 s, and a change must be known after 6 s: no delay of 1.5 s fits in between.
+    # After a request without an answer, the delay was once 2 to 6 s, then 4 to 12 s.
     monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.05)
     monkeypatch.setattr(discovery, "LINE_STALL_TIMEOUT_S", 0.05)
-    paused: list[float] = []
+    delays: list[float] = []
 
     async def pause(seconds: float) -> None:
-        paused.append(seconds)
+        delays.append(seconds)
 
     async def scenario() -> None:
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(said)
+            writer.write(sent)
             await reader.read()
 
         peer = await Peer(script).start()
         task = asyncio.ensure_future(Watch(peer.address, 5, 7, lambda change: None, 200).run())
-        await wait_until(lambda: len(paused) == 4)
+        await wait_until(lambda: len(delays) == 4)
         task.cancel()
 
     monkeypatch.setattr(discovery, "pause", pause)
     run(scenario())
-    assert max(paused) <= 0.1
+    assert max(delays) <= 0.1
 
 
 def chunked(text: bytes) -> bytes:
-    """As chunks of seven bytes: they end anywhere."""
+    """The text in chunks of seven bytes, so that they end anywhere."""
     parts = [text[at : at + 7] for at in range(0, len(text), 7)]
     return b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
 
@@ -394,14 +401,14 @@
 @pytest.mark.parametrize("ending", ["\n", "\r\n"])
 def test_a_list_may_be_indented_over_several_lines(indent: int, ending: str) -> None:
     async def scenario() -> None:
-        odd = entry('a"{[', ("127.0.0.1", 1))  # brackets and quotes in a name belong to no object
+        odd = entry('a"{[', ("127.0.0.1", 1))  # brackets and quotes within a name
         lists = [listing(odd, index=6), listing(entry("b", ("127.0.0.1", 2)), index=7, snapshot=False)]
         text = "".join(json.dumps(one, indent=indent).replace("\n", ending) + ending for one in lists)
         plain = json.dumps(listing(index=8, snapshot=False)) + "\n"
-        peer, told = await watching([chunked((text + ending + plain).encode())])
-        await wait_until(lambda: len(told) == 3)
-        assert [(change.index, change.full) for change in told] == [(6, True), (7, False), (8, False)]
-        assert told[0].endpoints[0].server.name == 'a"{['
+        peer, changes = await start_watched_discovery([chunked((text + ending + plain).encode())])
+        await wait_until(lambda: len(changes) == 3)
+        assert [(change.index, change.full) for change in changes] == [(6, True), (7, False), (8, False)]
+        assert changes[0].endpoints[0].server.name == 'a"{['
         assert peer.connections == 1
 
     run(scenario())
@@ -410,12 +417,14 @@
 @pytest.mark.parametrize(
     "behind", [b"\n", json.dumps(listing(index=7)).encode() + b"\n"], ids=["empty", "a list"]
 )
-def test_a_list_that_broke_off_swallows_nothing_that_follows(behind: bytes) -> None:
+def test_an_incomplete_list_does_not_swallow_what_follows(behind: bytes) -> None:
     async def scenario() -> None:
         broken = json.dumps(listing(entry("a", ("127.0.0.1", 1)), index=6), indent=2).encode()[:60]
-        peer, told = await watching([chunked(broken + b"\n" + behind)], [line(listing(index=9))])
-        await wait_until(lambda: len(told) == 1)
+        peer, changes = await start_watched_discovery(
+            [chunked(broken + b"\n" + behind)], [line(listing(index=9))]
+        )
+        await wait_until(lambda: len(changes) == 1)
         assert peer.requests[1] == b"/catalog/members?follow=1&since=0"
-        assert told[0].index == 9
+        assert changes[0].index == 9
 
     run(scenario())
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -1,4 +1,4 @@
-"""Rereading the configuration over loopback sockets: what is followed, what ends, what stays."""
+"""Rereading the configuration on SIGHUP: which changes are followed, what is closed, and what stays."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from tests.test_gateway_discovery import HEAD, line
 
 
-async def discovery(*entries: dict[str, Any], index: int) -> Peer:
-    """Tells of these servers, then notes the end of its connection."""
+async def start_discovery(*entries: dict[str, Any], index: int) -> Peer:
+    """A discovery that sends this list and records an empty request when the connection ends."""
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
         peer.requests.append((await reader.readuntil(b"\r\n\r\n")).split()[1])
@@ -45,45 +45,45 @@
     return await Peer(script).start()
 
 
-def at(peer: Peer) -> str:
+def address_text(peer: Peer) -> str:
     return f"{peer.address[0]}:{peer.address[1]}"
 
 
 def test_the_new_discovery_is_followed_and_the_old_watch_ends(tmp_path: Path) -> None:
     async def scenario() -> None:
         one, two = await answering_server(OK), await answering_server(OK)
-        old = await discovery(entry("a", one.address), index=900)
-        new = await discovery(entry("b", two.address), index=3)
-        made = gateway(discovery=at(old))
-        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["a"])
+        old = await start_discovery(entry("a", one.address), index=900)
+        new = await start_discovery(entry("b", two.address), index=3)
+        gw = gateway(discovery=address_text(old))
+        await wait_until(lambda: [s.name for s in gw.backends.servers()] == ["a"])
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(raw_config(discovery=at(new))))
+        file.write_text(json.dumps(raw_config(discovery=address_text(new))))
         # The variable is as old as the process: the file must win.
-        made.reload({"NODE_CONFIG": str(file), "NODE_DISCOVERY": at(old)})
-        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["b"])
+        gw.reload({"NODE_CONFIG": str(file), "NODE_DISCOVERY": address_text(old)})
+        await wait_until(lambda: [s.name for s in gw.backends.servers()] == ["b"])
         assert new.requests == [b"/catalog/members?follow=1&since=0"]
         await wait_until(lambda: old.requests[1:] == [b""])
-        assert (await (await Client.to(made)).send(build_request()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
         assert len(two.requests) == 1
 
     run(scenario())
 
 
 @pytest.mark.parametrize("content", [None, "{", "[]", '{"settings": {}}', "[" * 100_000])
-def test_a_file_that_is_wrong_changes_nothing(
+def test_a_wrong_file_changes_nothing(
     content: str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
         server = await answering_server(OK)
-        old = await discovery(entry("a", server.address), index=9)
-        made = gateway(discovery=at(old))
-        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["a"])
+        old = await start_discovery(entry("a", server.address), index=9)
+        gw = gateway(discovery=address_text(old))
+        await wait_until(lambda: [s.name for s in gw.backends.servers()] == ["a"])
         file = tmp_path / "config.json"
         if content is not None:
             file.write_text(content)
-        made.reload({"NODE_CONFIG": str(file)})
+        gw.reload({"NODE_CONFIG": str(file)})
         assert "keeping the former one" in caplog.text
-        assert (await (await Client.to(made)).send(build_request()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
         assert len(old.requests) == 1
 
     run(scenario())
@@ -91,14 +91,14 @@
 
 def test_reloads_in_a_row_end_with_the_last_one(tmp_path: Path) -> None:
     async def scenario() -> None:
-        peers = [await discovery(index=number) for number in range(4)]
-        made = gateway(discovery=at(peers[0]))
+        peers = [await start_discovery(index=number) for number in range(4)]
+        gw = gateway(discovery=address_text(peers[0]))
         file = tmp_path / "config.json"
         for peer in peers:
-            file.write_text(json.dumps(raw_config(discovery=at(peer), counter=at(peer))))
-            made.reload({"NODE_CONFIG": str(file)})
-        assert made.runtime.counter is not None
-        assert made.runtime.counter._address == peers[3].address
+            file.write_text(json.dumps(raw_config(discovery=address_text(peer), counter=address_text(peer))))
+            gw.reload({"NODE_CONFIG": str(file)})
+        assert gw.runtime.counter is not None
+        assert gw.runtime.counter._address == peers[3].address
         await wait_until(lambda: len(peers[3].requests) > 0)
         await wait_until(lambda: all(peer.requests[1:2] in ([], [b""]) for peer in peers[:3]))
         watches = [task for task in asyncio.all_tasks() if "Watch.run" in str(task.get_coro())]
@@ -115,43 +115,43 @@
             peer.requests.append(b"")
 
         server, old = await answering_server(OK), await Peer(script).start()
-        made = gateway(discovery=at(old))
+        gw = gateway(discovery=address_text(old))
         await wait_until(lambda: len(old.requests) == 1)
-        new = await discovery(entry("b", server.address), index=2)
+        new = await start_discovery(entry("b", server.address), index=2)
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(raw_config(discovery=at(new))))
-        made.reload({"NODE_CONFIG": str(file)})
-        await wait_until(lambda: [s.name for s in made.backends.servers()] == ["b"])
+        file.write_text(json.dumps(raw_config(discovery=address_text(new))))
+        gw.reload({"NODE_CONFIG": str(file)})
+        await wait_until(lambda: [s.name for s in gw.backends.servers()] == ["b"])
         await wait_until(lambda: old.requests[1:] == [b""])
-        assert (await (await Client.to(made)).send(build_request()))[0] == 200
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
 
     run(scenario())
 
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
-def test_a_reload_beside_the_end_neither_stops_it_nor_undoes_it(when: str, tmp_path: Path) -> None:
+def test_a_reload_around_a_shutdown_neither_stops_nor_undoes_it(when: str, tmp_path: Path) -> None:
     async def scenario() -> None:
         server = await answering_server(OK)
-        old = await discovery(entry("a", server.address), index=2)
-        new = await discovery(entry("a", server.address), index=2)
-        made = gateway(discovery=at(old))
-        address = made.frontend.address
-        client = await Client.to(made)
+        old = await start_discovery(entry("a", server.address), index=2)
+        new = await start_discovery(entry("a", server.address), index=2)
+        gw = gateway(discovery=address_text(old))
+        address = gw.frontend.address
+        client = await Client.to(gw)
         assert (await client.send(build_request()))[0] == 200
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(raw_config(discovery=at(new))))
+        file.write_text(json.dumps(raw_config(discovery=address_text(new))))
         if when == "before":
-            made.reload({"NODE_CONFIG": str(file)})
-        held = await Client.to(made)
+            gw.reload({"NODE_CONFIG": str(file)})
+        held = await Client.to(gw)
         held.writer.write(build_request()[:-2])
-        await wait_until(lambda: any(c.receiving for c in made.frontend.clients.open))
-        made.frontend.begin_shutdown()
+        await wait_until(lambda: any(c.receiving for c in gw.frontend.clients.open))
+        gw.frontend.begin_shutdown()
         if when == "during":
-            made.reload({"NODE_CONFIG": str(file)})
+            gw.reload({"NODE_CONFIG": str(file)})
         assert (await held.send(b"\r\n"))[0] == 200
-        await made.wait_and_close()
+        await gw.wait_and_close()
         if when == "after":
-            made.reload({"NODE_CONFIG": str(file)})
+            gw.reload({"NODE_CONFIG": str(file)})
         assert await client.reader.read() == b""
         with pytest.raises(ConnectionError):
             await asyncio.open_connection(*address)
@@ -159,7 +159,7 @@
     run(scenario())
 
 
-def test_calls_out_at_a_counter_that_is_left_have_its_answers() -> None:
+def test_calls_in_flight_on_a_replaced_counter_get_their_answers() -> None:
     async def scenario() -> None:
         answer = asyncio.Event()
 
@@ -170,16 +170,16 @@
             peer.requests.append(await reader.read())
 
         peer = await Peer(script).start()
-        told: list[interface.Counted] = []
-        made = CounterClient(asyncio.get_running_loop(), peer.address, 20_000_000_000, 7, told.append)
-        made.call(interface.Count(1, 2.0, 60_000_000_000))
+        results: list[interface.Counted] = []
+        client = CounterClient(asyncio.get_running_loop(), peer.address, 20_000_000_000, 7, results.append)
+        client.call(interface.Count(1, 2.0, 60_000_000_000))
         await wait_until(lambda: len(peer.requests) == 1)
-        made.retire()
-        assert told == []
+        client.retire()
+        assert results == []
         answer.set()
-        await wait_until(lambda: len(told) == 1)
-        assert (told[0].status, told[0].total) == (interface.Status.DELIVERED, 7.0)
-        await wait_until(lambda: peer.requests[1:] == [b""])  # and then its connection is closed
+        await wait_until(lambda: len(results) == 1)
+        assert (results[0].status, results[0].total) == (interface.Status.DELIVERED, 7.0)
+        await wait_until(lambda: peer.requests[1:] == [b""])  # and then the connection is closed
 
     run(scenario())
 
@@ -208,34 +208,34 @@
     process.stderr.close()
 
 
-def test_no_client_is_taken_in_before_discovery_has_told_what_the_old_list_lacks() -> None:
-    # Restarted gateways sent to servers that had begun to drain while they were down, and broke the rule.
+def test_no_client_is_accepted_before_discovery_has_sent_the_current_list() -> None:
+    # Restarted gateways sent requests to servers that had begun to drain while the gateways were down.
     async def scenario() -> None:
         old, new = await answering_server(OK), await answering_server(OK)
-        tells = asyncio.Event()
+        may_send_list = asyncio.Event()
 
         async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
             peer.requests.append(await reader.readuntil(b"\r\n\r\n"))
-            await tells.wait()
+            await may_send_list.wait()
             draining = entry("s0", old.address, "Terminating")
             writer.write(HEAD + line(listing(draining, entry("s1", new.address), index=9)))
             await reader.read()
 
         peer = await Peer(script).start()
-        made = gateway(old.address, discovery=at(peer))
-        client = await Client.to(made)
+        gw = gateway(old.address, discovery=address_text(peer))
+        client = await Client.to(gw)
         client.writer.write(build_request())
         await wait_until(lambda: len(peer.requests) == 1)
         await asyncio.sleep(0.05)
         assert not old.requests
-        tells.set()
+        may_send_list.set()
         assert (await client.answer())[0] == 200
         assert (len(old.requests), len(new.requests)) == (0, 1)
 
     run(scenario())
 
 
-def test_a_discovery_that_stays_silent_keeps_no_gateway_from_serving(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_discovery_does_not_keep_a_gateway_from_serving(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("gingerworks.gateway.__main__.FIRST_LIST_TIMEOUT_S", 0.05)
 
     async def scenario() -> None:
@@ -243,7 +243,7 @@
             await reader.read()
 
         peer, server = await Peer(script).start(), await answering_server(OK)
-        made = gateway(server.address, discovery=at(peer))
-        assert (await (await Client.to(made)).send(build_request()))[0] == 200
+        gw = gateway(server.address, discovery=address_text(peer))
+        assert (await (await Client.to(gw)).send(build_request()))[0] == 200
 
     run(scenario())
--- a/tests/test_reload_during_start.py
+++ b/tests/test_reload_during_start.py
@@ -1,4 +1,4 @@
-"""SIGHUP during a start: it ends no gateway, and what the file says by then is followed."""
+"""A SIGHUP during the start does not end the gateway, which follows what the file says by then."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from subprocess import Popen
 
 from tests.loopback import Peer, entry, raw_config, run, wait_until
-from tests.test_gateway_reload import at, discovery
+from tests.test_gateway_reload import address_text, start_discovery
 
 ROOT = Path(__file__).parent.parent
 STARTS_WITH_SIGHUP = "import os, signal\nos.kill(os.getpid(), signal.SIGHUP)\n"
 
 
-def deployed(config: Path, **environment: str) -> Popen[bytes]:
-    """A gateway as the deploy file runs it."""
+def start_deployed(config: Path, **environment: str) -> Popen[bytes]:
+    """A gateway process, run by the deploy file's command."""
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable)
     environment = {**os.environ, "NODE_CONFIG": str(config), **environment}
@@ -28,7 +28,7 @@
 
 
 async def opened_by_reader(fifo: Path) -> int:
-    """A named pipe's writing end, once somebody has opened it to read."""
+    """The writing end of a named pipe, once a reader has opened it."""
     while True:
         try:
             return os.open(fifo, os.O_WRONLY | os.O_NONBLOCK)
@@ -38,17 +38,21 @@
             await asyncio.sleep(0.002)
 
 
-async def telling_discovery() -> Peer:
-    return await discovery(entry("a", ("127.0.0.1", 1)), index=3)
+async def start_serving_discovery() -> Peer:
+    return await start_discovery(entry("a", ("127.0.0.1", 1)), index=3)
 
 
 def test_a_sighup_while_the_file_is_first_read_is_followed_once_the_gateway_runs(tmp_path: Path) -> None:
-    # It was ignored until the signals had their handlers: the gateway went on asking the former discovery.
+    # SIGHUP was ignored until its handler was set: the gateway kept using the former discovery.
     async def scenario() -> None:
-        new, file, replacement = await telling_discovery(), tmp_path / "config.json", tmp_path / "new.json"
-        replacement.write_text(json.dumps(raw_config(discovery=at(new))))
-        os.mkfifo(file)  # which is read no further than the test writes
-        process = deployed(file)
+        new, file, replacement = (
+            await start_serving_discovery(),
+            tmp_path / "config.json",
+            tmp_path / "new.json",
+        )
+        replacement.write_text(json.dumps(raw_config(discovery=address_text(new))))
+        os.mkfifo(file)  # a pipe: reading blocks until the test writes
+        process = start_deployed(file)
         try:
             reading = await opened_by_reader(file)
             replacement.replace(file)
@@ -64,13 +68,13 @@
     run(scenario())
 
 
-def test_a_sighup_while_the_interpreter_starts_ends_no_gateway(tmp_path: Path) -> None:
-    # Its modules take most of a start: a signal then ended the process, as nothing had asked to ignore it.
+def test_a_sighup_while_the_interpreter_starts_does_not_end_the_gateway(tmp_path: Path) -> None:
+    # Importing the modules takes most of a start.  A SIGHUP then ended the process, as it was not ignored yet.
     async def scenario() -> None:
-        agent, file = await telling_discovery(), tmp_path / "config.json"
-        file.write_text(json.dumps(raw_config(discovery=at(agent))))
+        agent, file = await start_serving_discovery(), tmp_path / "config.json"
+        file.write_text(json.dumps(raw_config(discovery=address_text(agent))))
         (tmp_path / "sitecustomize.py").write_text(STARTS_WITH_SIGHUP)
-        process = deployed(file, PYTHONPATH=str(tmp_path))
+        process = start_deployed(file, PYTHONPATH=str(tmp_path))
         try:
             await wait_until(lambda: bool(agent.requests) or process.poll() is not None)
             assert process.poll() is None
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -41,7 +41,7 @@
 )
 from tests.test_adapter import REQUEST, ROWS, START, batch
 from tests.test_adapter import run as play
-from tests.test_gateway_discovery import HEAD, watching
+from tests.test_gateway_discovery import HEAD, start_watched_discovery
 
 COUNT = 1024  # of gateways, of servers, and of a customer's gateways
 LISTENERS = 16  # share the names of so many servers among them
@@ -193,7 +193,9 @@
             json.dumps(message).encode() + b"\n"
             for message in (listing(*old, index=6), listing(*leaving, *new, index=7, snapshot=False))
         ]
-        peer, told = await watching([piece for message in texts for piece in in_one_chunk(message)])
+        peer, told = await start_watched_discovery(
+            [piece for message in texts for piece in in_one_chunk(message)]
+        )
         await wait_until(lambda: len(told) == 2)
         assert [(change.full, len(change.endpoints)) for change in told] == [
             (True, COUNT),
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -49,7 +49,7 @@
 from tests.test_gateway_attempts import Results, make_attempt, make_backends, run_attempt
 from tests.test_gateway_counter import answer_each_call, make_counter_client, start_peer
 from tests.test_gateway_counter import call as counter_call
-from tests.test_gateway_discovery import line, watching
+from tests.test_gateway_discovery import line, start_watched_discovery
 
 FOREVER = 1 << 30
 
@@ -1005,7 +1005,7 @@
 
     async def scenario() -> None:
         fail_first_connects(monkeypatch, code, times=200)
-        peer, changes = await watching(FULL_LIST)
+        peer, changes = await start_watched_discovery(FULL_LIST)
         await wait_until(lambda: bool(changes))
         assert len(pauses) == 200
         assert all(0.5 <= seconds / discovery.REOPEN_DELAY_S <= 1.5 for seconds in pauses)
@@ -1025,7 +1025,7 @@
     # It once counter_call as overload of discovery: pauses grew to 3 s, as after refused calls.
     async def scenario() -> None:
         fail_first_reads(monkeypatch, code, times=20)
-        peer, changes = await watching(*([[]] * 20), FULL_LIST)
+        peer, changes = await start_watched_discovery(*([[]] * 20), FULL_LIST)
         await wait_until(lambda: bool(changes))
         assert max(pauses) <= 1.5 * discovery.REOPEN_DELAY_S
         assert peer.task is not None
@@ -1045,7 +1045,7 @@
     # After ETIMEDOUT nothing has acknowledged the call, so discovery is silent and not overloaded.
     async def scenario() -> None:
         fail_first_reads(monkeypatch, code, times=20)
-        peer, changes = await watching(*([[]] * 20), FULL_LIST)
+        peer, changes = await start_watched_discovery(*([[]] * 20), FULL_LIST)
         await wait_until(lambda: bool(changes))
         least = 0.5 * discovery.MAX_REFUSED_DELAY_S if crowded else 0.0
         assert least <= max(pauses)
