--- a/tests/test_reload_during_start.py
+++ b/tests/test_reload_during_start.py
@@ -69,7 +69,7 @@
 
 
 def test_a_sighup_while_the_interpreter_starts_does_not_end_the_gateway(tmp_path: Path) -> None:
-    # Importing the modules takes most of a start.  A SIGHUP then ended the process, as it was not ignored yet.
+    # Importing the modules takes most of a start.  A SIGHUP then ended the process, as nothing ignored it.
     async def scenario() -> None:
         agent, file = await start_serving_discovery(), tmp_path / "config.json"
         file.write_text(json.dumps(raw_config(discovery=address_text(agent))))
