--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -45,7 +45,7 @@
 )
 from tests.test_adapter import REQUEST, ROWS, START, batch
 from tests.test_adapter import run as play
-from tests.test_gateway_discovery import HEAD, watching
+from tests.test_gateway_discovery import HEAD, start_watched_discovery
 
 COUNT = 1024  # number of gateways, of servers, and of gateways that a customer uses
 LISTENERS = 16  # listening peers, each of which stands for many servers
@@ -197,7 +197,9 @@
             json.dumps(message).encode() + b"\n"
             for message in (listing(*old, index=6), listing(*leaving, *new, index=7, snapshot=False))
         ]
-        peer, changes = await watching([piece for message in texts for piece in in_one_chunk(message)])
+        peer, changes = await start_watched_discovery(
+            [piece for message in texts for piece in in_one_chunk(message)]
+        )
         await wait_until(lambda: len(changes) == 2)
         assert [(change.full, len(change.endpoints)) for change in changes] == [
             (True, COUNT),
