--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -450,8 +450,7 @@
 def test_reads_from_a_server_pause_while_there_are_no_buffers(
     code: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The loop once retried the read in each turn, at the full load of a core, wait_until the attempt timed
-    # out.
+    # The loop once retried the read in each turn, at the full load of a core, until the attempt timed out.
     monkeypatch.setattr(read_retry, "SHORTAGE_RETRY_DELAY_S", 3600.0)
 
     async def scenario() -> None:
