--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -46,7 +46,7 @@
 def test_a_server_that_refuses_connections_is_avoided_for_longer_each_time() -> None:
     policy, times = policy_with_servers(server("alive"), server("dead")), []
     for n in range(600):
-        # Slower than the other server, which is therefore preferred whenever it is not left out.
+        # Slower than the other server, which is therefore preferred whenever it is not avoided.
         policy.servers.backends["alive"].relative_answer_time = 3.0
         if "dead" in try_all(policy, n, n * 100 * MS, {"dead"}):
             times.append(n * 100 * MS)
