--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""The start: ready soon on a small part of a core, whatever discovery does, also where many start at once."""
+"""The start: ready soon on a small share of a core, whatever discovery does, and if many start at once."""
 
 from __future__ import annotations
 
@@ -24,70 +24,71 @@
 
 ROOT = Path(__file__).parent.parent
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
-READY_S = 10.0  # for a restarted gateway to answer ...
-CORE = 1 / 20  # ... on so much of a core
-PROCESSOR_S = (READY_S - command.FIRST_LIST_TIMEOUT_S) * CORE  # what is left beside the one wait of a start
+READY_S = 10.0  # for a restarted gateway to answer
+CORE_SHARE = 1 / 20  # the share of a core that it has
+# The processor time that a start may use: it spends the rest of that time on its only wait.
+PROCESSOR_S = (READY_S - command.FIRST_LIST_TIMEOUT_S) * CORE_SHARE
 
 
-def place(address: Address) -> str:
+def address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
-async def nobody() -> str:
-    """A discovery that is gone: its machine refuses."""
+async def not_running() -> str:
+    """A discovery that does not run: connections to it are refused."""
     return f"127.0.0.1:{closed_port()}"
 
 
 async def refusing() -> str:
-    """A discovery that turns every call away."""
+    """A discovery that refuses every request."""
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
-    return place((await Peer(script).start()).address)
+    return address_text((await Peer(script).start()).address)
 
 
 async def silent() -> str:
-    """A discovery that takes every call and never answers."""
+    """A discovery that accepts every connection and never answers."""
 
     async def script(peer: Peer, reader: Reader, writer: Writer) -> None:
         await reader.read()
 
-    return place((await Peer(script).start()).address)
+    return address_text((await Peer(script).start()).address)
 
 
 @contextmanager
 def unreachable() -> Iterator[str]:
-    """A discovery no connection to which comes up: the backlog of its listener is full."""
+    """A discovery to which no connection is established: the backlog of its listener is full."""
     with ExitStack() as stack:
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=0))
-        for _ in range(4):  # the kernel takes in one or two more than the backlog says
+        for _ in range(4):  # the kernel accepts one or two more than the backlog says
             sock = stack.enter_context(socket.socket())
             sock.setblocking(False)
             sock.connect_ex(listener.getsockname())
-        yield place(listener.getsockname())
+        yield address_text(listener.getsockname())
 
 
-async def address_of(how: str, stack: ExitStack) -> str:
-    if how == "unreachable":
+async def address_of(behaviour: str, stack: ExitStack) -> str:
+    if behaviour == "unreachable":
         return stack.enter_context(unreachable())
-    return await {"nobody": nobody, "refusing": refusing, "silent": silent}[how]()
+    return await {"not_running": not_running, "refusing": refusing, "silent": silent}[behaviour]()
 
 
 async def is_healthy(client: Client) -> bool:
     return (await client.send(HEALTH))[0] == 200
 
 
-WAYS = ["nobody", "refusing", "silent", "unreachable"]
+BEHAVIOURS = ["not_running", "refusing", "silent", "unreachable"]
 
 
-@pytest.mark.parametrize("how", WAYS)
+@pytest.mark.parametrize("behaviour", BEHAVIOURS)
 def test_a_start_waits_for_nothing_but_discoverys_first_answer(
-    how: str, monkeypatch: pytest.MonkeyPatch
+    behaviour: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Of all times only the one for the first answer can ring within the test, where that answer never comes.
-    answers = how in ("nobody", "refusing")
+    # No time-out may end a wait, except the one for the first answer, where that answer never comes.
+    answers = behaviour in ("not_running", "refusing")
     monkeypatch.setattr(command, "FIRST_LIST_TIMEOUT_S", 1e6 if answers else 0.02)
     monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 1e6)
     monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 1e6)
@@ -96,14 +97,15 @@
 
     async def scenario() -> None:
         with ExitStack() as stack:
-            made = gateway(discovery=await address_of(how, stack), counter=f"127.0.0.1:{closed_port()}")
-            assert await is_healthy(await Client.to(made))
+            gw = gateway(discovery=await address_of(behaviour, stack), counter=f"127.0.0.1:{closed_port()}")
+            assert await is_healthy(await Client.to(gw))
 
     run(scenario())
 
 
-def test_the_start_cleans_up_while_it_waits_for_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
-    # It did so before it asked: some tenth of the processor time of a start, ahead of the wait.
+def test_garbage_is_collected_while_the_start_waits_for_discovery(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The collection took about a tenth of the processor time of a start, and once ran before the request to
+    # discovery instead of while waiting for its answer.
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setblocking(False)
         order: list[str] = []
@@ -119,17 +121,18 @@
 
         monkeypatch.setattr(gc, "collect", collect)
         monkeypatch.setattr(gc, "freeze", freeze)
-        run(command.serve(config_from(raw_config(discovery=place(listener.getsockname())))))
+        run(command.serve(config_from(raw_config(discovery=address_text(listener.getsockname())))))
         assert order == ["asked", "collected"]
 
 
-@pytest.mark.parametrize("how", ["nobody", "refusing", "unreachable"])  # silent: with many at once, below
+# The next test covers a silent discovery.
+@pytest.mark.parametrize("behaviour", ["not_running", "refusing", "unreachable"])
 def test_a_start_takes_so_little_processor_time_that_a_twentieth_of_a_core_is_enough(
-    how: str, tmp_path: Path
+    behaviour: str, tmp_path: Path
 ) -> None:
     async def scenario() -> None:
         with ExitStack() as stack:
-            config = raw_config(discovery=await address_of(how, stack))
+            config = raw_config(discovery=await address_of(behaviour, stack))
             process = stack.enter_context(Process(tmp_path, config))
             await process.listening()
             assert await is_healthy(await Client.at(process.address))
@@ -138,7 +141,7 @@
     run(scenario())
 
 
-def test_all_that_are_killed_start_again_at_once_at_their_addresses(tmp_path: Path) -> None:
+def test_gateways_that_were_killed_restart_together_at_their_addresses(tmp_path: Path) -> None:
     async def scenario() -> None:
         with ExitStack() as stack:
             configs = [raw_config(name=f"n{number}") for number in range(4)]
@@ -149,26 +152,28 @@
                 clients.append(client := await Client.at(process.address))
                 assert await is_healthy(client)
             for process in former:
-                process.kill()  # with connections open: these addresses rest in the kernel
-            places = [place(process.address) for process in former]
-            away = await silent()
-            again = [
-                stack.enter_context(Process(tmp_path, config | {"discovery": away}, NODE_LISTEN=listen))
-                for config, listen in zip(configs, places, strict=True)
+                process.kill()  # with connections open: the kernel still holds these addresses
+            addresses = [address_text(process.address) for process in former]
+            silent_discovery = await silent()
+            restarted = [
+                stack.enter_context(
+                    Process(tmp_path, config | {"discovery": silent_discovery}, NODE_LISTEN=listen)
+                )
+                for config, listen in zip(configs, addresses, strict=True)
             ]
-            for process, listen in zip(again, places, strict=True):
+            for process, listen in zip(restarted, addresses, strict=True):
                 await process.listening()
-                assert place(process.address) == listen
-            waiting = [await Client.at(process.address) for process in again]
+                assert address_text(process.address) == listen
+            waiting = [await Client.at(process.address) for process in restarted]
             assert all(await asyncio.gather(*map(is_healthy, waiting)))
-            assert max(process.processor_s() for process in again) < PROCESSOR_S
+            assert max(process.processor_s() for process in restarted) < PROCESSOR_S
             assert len(clients) == len(former)
 
     run(scenario())
 
 
-def test_the_build_leaves_compiled_what_every_start_would_compile_again(tmp_path: Path) -> None:
-    # The file system is read-only where gateways run, so no start can leave that to the next one.
+def test_the_build_compiles_all_modules_in_advance(tmp_path: Path) -> None:
+    # The file system is read-only where gateways run, so no start can leave compiled files for the next one.
     sources = [path.relative_to(ROOT) for path in (ROOT / "gingerworks").rglob("*.py")]
     for source in sources:
         (tmp_path / source).parent.mkdir(parents=True, exist_ok=True)
