--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are stepped before a gateway starts or while it runs: spans of time stay what they are."""
+"""Steps of the wall clock before a gateway starts or while it runs: they must not change any duration."""
 
 from __future__ import annotations
 
@@ -43,10 +43,11 @@
 COLD_NS: int = SETTINGS["rules"]["cold-ns"]
 START_CAPACITY: float = SETTINGS["rules"]["start-capacity"]
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-AT_ONCE = 12  # requests
-SAVED_UP = 2  # of these at the most go to a cold server: its counter saves up one, and time passes meanwhile
+AT_ONCE = 12  # requests that are sent together
+# At most this many of them go to a cold server: slow start saves up one for it, and time passes.
+MAX_SENT_TO_COLD = 2
 COLD_IN_PROCESS_NS = 10 * clock.NS_PER_S
-NOBODY = ("127.0.0.1", closed_port())
+UNUSED_ADDRESS = ("127.0.0.1", closed_port())
 
 
 def settings_with(**rules: Any) -> dict[str, Any]:
@@ -59,7 +60,7 @@
 
 
 class Discovery:
-    """Follows one script: the whole list as a watch begins, and each change as it is told."""
+    """A discovery that sends the full list when a watch begins, and later each change that a test makes."""
 
     def __init__(self, *first: dict[str, Any]) -> None:
         self.index = 1
@@ -71,21 +72,21 @@
         return self
 
     @property
-    def place(self) -> str:
+    def address_text(self) -> str:
         return f"{self.peer.address[0]}:{self.peer.address[1]}"
 
     async def _script(self, peer: Peer, reader: Reader, writer: Writer) -> None:
         peer.requests.append(await reader.readuntil(b"\r\n\r\n"))
         writer.write(HEAD)
         self._write(writer, json.dumps(self.first))
-        while True:  # empty lines, as long as nothing changes
+        while True:  # an empty line each second, as long as nothing changes
             await asyncio.sleep(1.0)
             self._write(writer, "")
 
-    def tell(self, *entries: dict[str, Any], whole: bool = False) -> None:
-        """A change of the list, or the whole list anew, on the open watch."""
+    def send(self, *entries: dict[str, Any], full: bool = False) -> None:
+        """Send a change of the list, or the full list again, on the open watch."""
         self.index += 1
-        self._write(self.peer.writers[-1], json.dumps(listing(*entries, index=self.index, snapshot=whole)))
+        self._write(self.peer.writers[-1], json.dumps(listing(*entries, index=self.index, snapshot=full)))
 
     @staticmethod
     def _write(writer: Writer, text: str) -> None:
@@ -93,33 +94,33 @@
         writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
 
-def warmth(made: Gateway, name: str, now: int) -> float:
-    servers = made.runtime._policy.servers
+def capacity_share(gw: Gateway, name: str, now: int) -> float:
+    servers = gw.runtime._policy.servers
     share: float = servers.capacity_share_at(servers.backends[name], now)
     return share
 
 
-def knows(made: Gateway, name: str) -> bool:
-    return name in made.runtime._policy.servers.backends
+def lists_server(gw: Gateway, name: str) -> bool:
+    return name in gw.runtime._policy.servers.backends
 
 
-def warmth_after(age_ns: int) -> float:
-    """By the slowest way to get warm that the rules allow; start times are told in whole milliseconds."""
+def max_capacity_share_at_age(age_ns: int) -> float:
+    """The greatest share that the rules allow at this age; start times are stated in whole milliseconds."""
     return START_CAPACITY + (1 - START_CAPACITY) * (age_ns + clock.NS_PER_MS) / COLD_NS
 
 
 def step_before_start(monkeypatch: pytest.MonkeyPatch, step_s: int) -> None:
-    """What a process finds that starts after its machine's wall clock was stepped."""
+    """Set the clock as in a process that starts after its machine's wall clock was stepped."""
     monkeypatch.setattr(clock, "_OFFSET", clock._OFFSET + step_s * clock.NS_PER_S)
 
 
-async def followed(discovery: Discovery, known: dict[str, Any]) -> Gateway:
-    """A gateway that has heard the first list, which holds this server."""
-    made = gateway(discovery=discovery.place, known=listing(known, index=0))
-    await wait_until(lambda: made.frontend.address[1] != 0 and len(discovery.peer.requests) == 1)
-    discovery.tell(entry("first", NOBODY))
-    await wait_until(lambda: knows(made, "first"))
-    return made
+async def start_following_gateway(discovery: Discovery, known: dict[str, Any]) -> Gateway:
+    """A gateway that has received the first list, which contains this server."""
+    gw = gateway(discovery=discovery.address_text, known=listing(known, index=0))
+    await wait_until(lambda: gw.frontend.address[1] != 0 and len(discovery.peer.requests) == 1)
+    discovery.send(entry("first", UNUSED_ADDRESS))
+    await wait_until(lambda: lists_server(gw, "first"))
+    return gw
 
 
 @pytest.mark.parametrize("step_s", [0, *STEPS_S])
@@ -129,41 +130,45 @@
     step_before_start(monkeypatch, step_s)
 
     async def scenario() -> None:
-        discovery = await Discovery(entry("old", NOBODY)).start()
-        made = await followed(discovery, entry("old", NOBODY))
+        discovery = await Discovery(entry("old", UNUSED_ADDRESS)).start()
+        gw = await start_following_gateway(discovery, entry("old", UNUSED_ADDRESS))
         before = clock.now()
-        discovery.tell(entry("new", NOBODY, since_ms=unix_ms()))
-        await wait_until(lambda: knows(made, "new"))
+        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=unix_ms()))
+        await wait_until(lambda: lists_server(gw, "new"))
         after = clock.now()
-        assert START_CAPACITY <= warmth(made, "new", after) <= warmth_after(after - before)
+        assert START_CAPACITY <= capacity_share(gw, "new", after) <= max_capacity_share_at_age(after - before)
         halfway = after + COLD_NS // 2
-        assert warmth(made, "new", halfway) <= warmth_after(halfway - before)
-        assert warmth(made, "new", halfway) >= warmth_after(COLD_NS // 2 - 2 * clock.NS_PER_MS)
-        assert warmth(made, "new", after + COLD_NS) == 1.0  # no longer than the rules want
-        assert warmth(made, "old", after) == 1.0
+        assert capacity_share(gw, "new", halfway) <= max_capacity_share_at_age(halfway - before)
+        assert capacity_share(gw, "new", halfway) >= max_capacity_share_at_age(
+            COLD_NS // 2 - 2 * clock.NS_PER_MS
+        )
+        assert capacity_share(gw, "new", after + COLD_NS) == 1.0  # no longer than the rules require
+        assert capacity_share(gw, "old", after) == 1.0
 
     run(scenario())
 
 
 @pytest.mark.parametrize("step_s", [0, *STEPS_S])
-@pytest.mark.parametrize("whole", [False, True], ids=["a change", "a whole list"])
+@pytest.mark.parametrize("full", [False, True], ids=["a change", "a full list"])
 def test_a_server_that_starts_again_under_its_name_is_cold_from_then_on(
-    monkeypatch: pytest.MonkeyPatch, step_s: int, whole: bool
+    monkeypatch: pytest.MonkeyPatch, step_s: int, full: bool
 ) -> None:
     step_before_start(monkeypatch, step_s)
 
     async def scenario() -> None:
         since = unix_ms() - 10 * HOUR_S * 1000
-        discovery = await Discovery(entry("again", NOBODY, since_ms=since)).start()
-        made = await followed(discovery, entry("again", NOBODY, since_ms=since))
-        assert warmth(made, "again", clock.now()) == 1.0
+        discovery = await Discovery(entry("again", UNUSED_ADDRESS, since_ms=since)).start()
+        gw = await start_following_gateway(discovery, entry("again", UNUSED_ADDRESS, since_ms=since))
+        assert capacity_share(gw, "again", clock.now()) == 1.0
         before = clock.now()
-        restarted = entry("again", NOBODY, since_ms=unix_ms())
-        discovery.tell(restarted, entry("marker", NOBODY), whole=whole)
-        await wait_until(lambda: knows(made, "marker"))
+        restarted = entry("again", UNUSED_ADDRESS, since_ms=unix_ms())
+        discovery.send(restarted, entry("marker", UNUSED_ADDRESS), full=full)
+        await wait_until(lambda: lists_server(gw, "marker"))
         after = clock.now()
-        assert START_CAPACITY <= warmth(made, "again", after) <= warmth_after(after - before)
-        assert warmth(made, "again", after + COLD_NS) == 1.0
+        assert (
+            START_CAPACITY <= capacity_share(gw, "again", after) <= max_capacity_share_at_age(after - before)
+        )
+        assert capacity_share(gw, "again", after + COLD_NS) == 1.0
 
     run(scenario())
 
@@ -175,12 +180,12 @@
 
     async def scenario() -> None:
         warm, cold = unix_ms() - 30 * 60 * 1000, unix_ms()
-        first = [entry("warm", NOBODY, since_ms=warm), entry("cold", NOBODY, since_ms=cold)]
-        made = await followed(await Discovery(*first).start(), first[0])
+        first = [entry("warm", UNUSED_ADDRESS, since_ms=warm), entry("cold", UNUSED_ADDRESS, since_ms=cold)]
+        gw = await start_following_gateway(await Discovery(*first).start(), first[0])
         now = clock.now()
         for name in ("warm", "cold"):
-            assert START_CAPACITY <= warmth(made, name, now) < 1.0
-            assert warmth(made, name, now + COLD_NS) == 1.0
+            assert START_CAPACITY <= capacity_share(gw, name, now) < 1.0
+            assert capacity_share(gw, name, now + COLD_NS) == 1.0
 
     run(scenario())
 
@@ -189,19 +194,19 @@
 
 
 @pytest.mark.parametrize("jump_ms", JUMPS_MS.values(), ids=JUMPS_MS)
-def test_a_start_time_that_jumps_between_two_lists_makes_no_cold_server_warm(jump_ms: int | None) -> None:
+def test_a_start_time_that_jumps_between_lists_makes_no_cold_server_warm(jump_ms: int | None) -> None:
     async def scenario() -> None:
-        discovery = await Discovery(entry("old", NOBODY)).start()
-        made = await followed(discovery, entry("old", NOBODY))
+        discovery = await Discovery(entry("old", UNUSED_ADDRESS)).start()
+        gw = await start_following_gateway(discovery, entry("old", UNUSED_ADDRESS))
         before, since = clock.now(), unix_ms()
-        discovery.tell(entry("new", NOBODY, since_ms=since))
-        await wait_until(lambda: knows(made, "new"))
+        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=since))
+        await wait_until(lambda: lists_server(gw, "new"))
         jumped = 0 if jump_ms is None else since + jump_ms
-        discovery.tell(entry("new", NOBODY, since_ms=jumped), entry("marker", NOBODY))
-        await wait_until(lambda: knows(made, "marker"))
+        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=jumped), entry("marker", UNUSED_ADDRESS))
+        await wait_until(lambda: lists_server(gw, "marker"))
         after = clock.now()
-        assert warmth(made, "new", after) <= warmth_after(after - before)
-        assert warmth(made, "new", after + COLD_NS) == 1.0
+        assert capacity_share(gw, "new", after) <= max_capacity_share_at_age(after - before)
+        assert capacity_share(gw, "new", after + COLD_NS) == 1.0
 
     run(scenario())
 
@@ -209,33 +214,38 @@
 def test_a_server_that_was_left_out_of_the_list_for_a_while_is_not_new() -> None:
     async def scenario() -> None:
         since = unix_ms() - HOUR_S * 1000
-        back, stays = entry("back", NOBODY, since_ms=since), entry("stays", NOBODY, since_ms=since)
+        back, stays = (
+            entry("back", UNUSED_ADDRESS, since_ms=since),
+            entry("stays", UNUSED_ADDRESS, since_ms=since),
+        )
         discovery = await Discovery(back, stays).start()
-        made = await followed(discovery, back)
-        discovery.tell(entry("back", NOBODY, "Gone"))
-        discovery.tell(entry("marker", NOBODY), whole=True)
-        await wait_until(lambda: not knows(made, "stays") and not knows(made, "back"))
-        discovery.tell(back, stays)
-        await wait_until(lambda: knows(made, "stays"))
-        assert warmth(made, "back", clock.now()) == warmth(made, "stays", clock.now()) == 1.0
+        gw = await start_following_gateway(discovery, back)
+        discovery.send(entry("back", UNUSED_ADDRESS, "Gone"))
+        discovery.send(entry("marker", UNUSED_ADDRESS), full=True)
+        await wait_until(lambda: not lists_server(gw, "stays") and not lists_server(gw, "back"))
+        discovery.send(back, stays)
+        await wait_until(lambda: lists_server(gw, "stays"))
+        assert capacity_share(gw, "back", clock.now()) == capacity_share(gw, "stays", clock.now()) == 1.0
 
     run(scenario())
 
 
 def test_what_changed_before_the_first_answer_is_not_taken_for_new() -> None:
-    """The list known before the start is older than the start; this machine's clock is all there is."""
+    """The configured list is older than the start, so only this machine's clock tells the server's age."""
 
     async def scenario() -> None:
         since = unix_ms() - HOUR_S * 1000
-        discovery = await Discovery(entry("old", NOBODY), entry("since", NOBODY, since_ms=since)).start()
-        made = await followed(discovery, entry("old", NOBODY))
-        assert warmth(made, "since", clock.now()) == 1.0
+        discovery = await Discovery(
+            entry("old", UNUSED_ADDRESS), entry("since", UNUSED_ADDRESS, since_ms=since)
+        ).start()
+        gw = await start_following_gateway(discovery, entry("old", UNUSED_ADDRESS))
+        assert capacity_share(gw, "since", clock.now()) == 1.0
 
     run(scenario())
 
 
 class HoldingServer:
-    """A server that answers after its work until it is told to hold what comes."""
+    """A server that answers after ``work_s``, or, once ``holds`` is set, not at all."""
 
     def __init__(self, work_s: float = 0.0) -> None:
         self.work_s = work_s
@@ -256,15 +266,15 @@
         return len(self.peer.requests)
 
 
-async def reach(client: Client, server: HoldingServer) -> None:
-    """Ask until a server has got a request: whatever made it the one to choose has been heard by then."""
+async def send_until_reached(client: Client, server: HoldingServer) -> None:
+    """Send requests until this server gets one: by then the gateway knows the list that leads to it."""
     before = server.received
     while server.received == before:
         assert (await client.send(build_request()))[0] in (200, 503)
 
 
-async def sent_at_once_to(new: HoldingServer, old: HoldingServer, process: Process) -> int:
-    """Of so many requests at once, while nothing is answered: how many go to this one of two servers."""
+async def requests_sent_to(new: HoldingServer, old: HoldingServer, process: Process) -> int:
+    """Send requests together while nothing is answered; return how many go to the new one of two servers."""
     old.holds = new.holds = True
     before = new.received, new.received + old.received
     clients = [await Client.at(process.address) for _ in range(AT_ONCE)]
@@ -282,38 +292,38 @@
     steps = {"WALL_STEP_LATER" if running else "WALL_STEP_BEFORE": str(step_s)}
 
     async def scenario() -> None:
-        # The old one is the slower: a new one that passes for warm is sure to get its half.
+        # The old server is slower: a new one that is wrongly taken for warm gets at least half the requests.
         old, new, marker = HoldingServer(work_s=0.02), HoldingServer(), HoldingServer()
         for server in (old, new, marker):
             await server.peer.start()
         discovery = await Discovery(entry("old", old.peer.address)).start()
         config = raw_config(
             old.peer.address,
-            discovery=discovery.place,
+            discovery=discovery.address_text,
             known=listing(entry("old", old.peer.address)),
             settings=settings_with(**{"cold-ns": COLD_IN_PROCESS_NS}),
         )
         with Process(tmp_path, config, "tests.stepped_gateway", **steps) as process:
             await process.listening()
             client = await Client.at(process.address)
-            await reach(client, old)
+            await send_until_reached(client, old)
             if running:
                 os.kill(process.pid, signal.SIGUSR1)
                 await wait_until(lambda: "stepped by" in process.log())
-            discovery.tell(entry("new", new.peer.address, since_ms=unix_ms()))
-            discovery.tell(
+            discovery.send(entry("new", new.peer.address, since_ms=unix_ms()))
+            discovery.send(
                 entry("old", old.peer.address, "Terminating"), entry("marker", marker.peer.address)
             )
-            await reach(client, marker)
-            discovery.tell(entry("old", old.peer.address), entry("marker", marker.peer.address, "Gone"))
-            await reach(client, old)
-            assert await sent_at_once_to(new, old, process) <= SAVED_UP
+            await send_until_reached(client, marker)
+            discovery.send(entry("old", old.peer.address), entry("marker", marker.peer.address, "Gone"))
+            await send_until_reached(client, old)
+            assert await requests_sent_to(new, old, process) <= MAX_SENT_TO_COLD
 
     run(scenario())
 
 
 def imported_names(source: Path) -> set[str]:
-    """Names of the modules that a module imports, and of what it takes from them."""
+    """Names of the modules that a module imports."""
     names = set()
     for node in ast.walk(ast.parse(source.read_text())):
         if isinstance(node, ast.Import):
@@ -332,57 +342,57 @@
     assert readers == {"gateway/clock.py"}
 
 
-async def counting(peer: Peer, reader: Reader, writer: Writer) -> None:
-    """A shared counter on which each call makes a total of one."""
+async def answer_one(peer: Peer, reader: Reader, writer: Writer) -> None:
+    """A shared counter that answers each call with a total of one."""
     while line := await reader.readline():
         peer.requests.append(line)
         writer.write(b"ok 1\r\n" if line.startswith(b"bump") else b"pong\r\n")
 
 
-async def sharing(discovery: Discovery, counter: Peer, server: HoldingServer) -> Gateway:
-    """A gateway that shares quotas by a counter and has heard the first list."""
-    made = gateway(
-        discovery=discovery.place,
+async def start_quota_sharing_gateway(discovery: Discovery, counter: Peer, server: HoldingServer) -> Gateway:
+    """A gateway that shares quotas by a counter and has received the first list."""
+    gw = gateway(
+        discovery=discovery.address_text,
         known=listing(entry("s", server.peer.address)),
         counter=f"{counter.address[0]}:{counter.address[1]}",
         settings=SETTINGS | {"specifics": SETTINGS["specifics"] | {"has-counter": True}},
     )
-    client = await Client.to(made)
-    assert (await client.send(build_request()))[0] == 200  # it takes in clients once it has the first list
-    return made
+    client = await Client.to(gw)
+    assert (await client.send(build_request()))[0] == 200  # it accepts clients once it has the first list
+    return gw
 
 
-async def calls_for(made: Gateway, counter: Peer, customer: int) -> int:
-    """Calls of the counter that the first request of a customer causes: the even share does not cover it."""
+async def counter_calls_for(gw: Gateway, counter: Peer, customer: int) -> int:
+    """How many counter calls the first request of a customer causes: its even share does not cover it."""
     before = len(counter.requests)
     heavy = build_request(X_Contract="small", X_Metering="units=6,spread=3,first=1")
     heavy = heavy.replace(b"00000000b4d65521", b"%016x" % customer)
-    status, _, _ = await (await Client.to(made)).send(heavy)
+    status, _, _ = await (await Client.to(gw)).send(heavy)
     assert status in (200, 429)
     return sum(line.startswith(b"bump") for line in counter.requests[before:])
 
 
 @pytest.mark.parametrize("step_s", [0, HOUR_S, -HOUR_S])
-def test_a_clock_that_two_lists_of_starts_disprove_names_no_shared_counts(
+def test_no_shared_counts_are_used_with_a_clock_that_two_lists_of_starts_disprove(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, step_s: int
 ) -> None:
     step_before_start(monkeypatch, step_s)
 
     async def scenario() -> None:
-        counter, server = await Peer(counting).start(), HoldingServer()
+        counter, server = await Peer(answer_one).start(), HoldingServer()
         await server.peer.start()
         discovery = await Discovery(entry("s", server.peer.address)).start()
-        made = await sharing(discovery, counter, server)
-        counts = [await calls_for(made, counter, 1) > 0]
+        gw = await start_quota_sharing_gateway(discovery, counter, server)
+        counts = [await counter_calls_for(gw, counter, 1) > 0]
         for number in (1, 2):
-            discovery.tell(entry(f"new{number}", NOBODY, "Terminating", unix_ms()))
-            await wait_until(lambda name=f"new{number}": knows(made, name))  # type: ignore[misc]
-            counts.append(await calls_for(made, counter, 1 + number) > 0)
+            discovery.send(entry(f"new{number}", UNUSED_ADDRESS, "Terminating", unix_ms()))
+            await wait_until(lambda name=f"new{number}": lists_server(gw, name))  # type: ignore[misc]
+            counts.append(await counter_calls_for(gw, counter, 1 + number) > 0)
         assert counts == [True, True, step_s == 0]
-        # A start whose time fits, as after the servers' clocks were set, not this machine's: shared again.
-        discovery.tell(entry("new3", NOBODY, "Terminating", clock.now() // clock.NS_PER_MS))
-        await wait_until(lambda: knows(made, "new3"))
-        assert await calls_for(made, counter, 4) > 0
+        # Quotas are shared again after a plausible start, as when the servers' clocks were set instead.
+        discovery.send(entry("new3", UNUSED_ADDRESS, "Terminating", clock.now() // clock.NS_PER_MS))
+        await wait_until(lambda: lists_server(gw, "new3"))
+        assert await counter_calls_for(gw, counter, 4) > 0
 
     run(scenario())
     errors = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
@@ -394,39 +404,42 @@
 
 
 def test_servers_that_are_listed_long_after_their_start_disprove_no_clock() -> None:
-    # They may load for minutes first, or discovery was away: two such lists cut a fleet off the counter.
+    # Servers may load for minutes first, or discovery was down.  Two such lists once made all gateways stop
+    # using the counter.
     starts = ServerStarts()
     for index, name in enumerate("abc"):
         server = interface.Server(
             name, interface.Phase.READY, started_ns=clock.now() - 10 * 60 * clock.NS_PER_S
         )
-        starts.correct_start_times(Change(index, index == 0, (Endpoint(server, NOBODY),)), cached=False)
+        starts.correct_start_times(
+            Change(index, index == 0, (Endpoint(server, UNUSED_ADDRESS),)), cached=False
+        )
     assert starts.clock_check.is_plausible
 
 
 @pytest.mark.parametrize("step_s", STEPS_S)
-def test_a_step_in_a_running_process_reaches_nothing(monkeypatch: pytest.MonkeyPatch, step_s: int) -> None:
-    """Slow start, the names of counts, deadlines and the ids seen of late run on as if nothing had been."""
+def test_a_step_while_the_process_runs_has_no_effect(monkeypatch: pytest.MonkeyPatch, step_s: int) -> None:
+    """Slow start, names of counts, deadlines and remembered request ids are not affected."""
     true_time_ns, true_time = time.time_ns, time.time
 
     async def scenario() -> None:
-        counter, server = await Peer(counting).start(), HoldingServer()
+        counter, server = await Peer(answer_one).start(), HoldingServer()
         await server.peer.start()
         discovery = await Discovery(entry("s", server.peer.address)).start()
-        made = gateway(
-            discovery=discovery.place,
+        gw = gateway(
+            discovery=discovery.address_text,
             known=listing(entry("s", server.peer.address)),
             counter=f"{counter.address[0]}:{counter.address[1]}",
             settings=SETTINGS | {"specifics": SETTINGS["specifics"] | {"has-counter": True}},
         )
-        client, spent = await Client.to(made), build_request(X_Contract="small")
-        assert (await client.send(spent))[0] == 200
-        (customer,) = made.runtime._policy.quotas.customers.values()
-        discovery.tell(entry("new", NOBODY, since_ms=unix_ms()))
-        await wait_until(lambda: knows(made, "new"))
+        client, request = await Client.to(gw), build_request(X_Contract="small")
+        assert (await client.send(request))[0] == 200
+        (customer,) = gw.runtime._policy.quotas.customers.values()
+        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=unix_ms()))
+        await wait_until(lambda: lists_server(gw, "new"))
         since = time.monotonic_ns()
         before = clock.now()
-        warm_before = warmth(made, "new", before)
+        warm_before = capacity_share(gw, "new", before)
 
         monkeypatch.setattr(time, "time_ns", lambda: true_time_ns() + step_s * clock.NS_PER_S)
         monkeypatch.setattr(time, "time", lambda: true_time() + step_s)
@@ -434,13 +447,14 @@
         after = clock.now()
         passed_ns = time.monotonic_ns() - since
         assert before <= after <= before + passed_ns
-        assert warm_before <= warmth(made, "new", after) <= warm_before + passed_ns / COLD_NS
-        near = {customer.count_name(at) for at in (before, before + passed_ns)}  # a name may just have ended
+        assert warm_before <= capacity_share(gw, "new", after) <= warm_before + passed_ns / COLD_NS
+        # The name may just have changed.
+        near = {customer.count_name(at) for at in (before, before + passed_ns)}
         assert customer.count_name(after) in near
-        assert (await client.send(spent))[0] == 409  # an id seen of late
+        assert (await client.send(request))[0] == 409  # the id of a recent request
         server.holds = True
-        status, head, _ = await (await Client.to(made)).send(build_request("post", left="0.300"))
-        # The attempt may have run: it has failed, in its time.  Nor is its time over before it has passed.
+        status, head, _ = await (await Client.to(gw)).send(build_request("post", left="0.300"))
+        # The attempt may have run, so the request fails, and neither before nor long after its time is over.
         assert status not in (200, 429, 503), head
         assert 0.2 * clock.NS_PER_S <= clock.now() - after < 20 * clock.NS_PER_S
 
