--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -83,7 +83,7 @@
             await asyncio.sleep(1.0)
             self._write(writer, "")
 
-    def send(self, *entries: dict[str, Any], full: bool = False) -> None:
+    def send_change(self, *entries: dict[str, Any], full: bool = False) -> None:
         """Send a change of the list, or the full list again, on the open watch."""
         self.index += 1
         self._write(self.peer.writers[-1], json.dumps(listing(*entries, index=self.index, snapshot=full)))
@@ -118,7 +118,7 @@
     """A gateway that has received the first list, which contains this server."""
     gw = gateway(discovery=discovery.address_text, known=listing(known, index=0))
     await wait_until(lambda: gw.frontend.address[1] != 0 and len(discovery.peer.requests) == 1)
-    discovery.send(entry("first", UNUSED_ADDRESS))
+    discovery.send_change(entry("first", UNUSED_ADDRESS))
     await wait_until(lambda: lists_server(gw, "first"))
     return gw
 
@@ -133,7 +133,7 @@
         discovery = await Discovery(entry("old", UNUSED_ADDRESS)).start()
         gw = await start_following_gateway(discovery, entry("old", UNUSED_ADDRESS))
         before = clock.now()
-        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=unix_ms()))
+        discovery.send_change(entry("new", UNUSED_ADDRESS, since_ms=unix_ms()))
         await wait_until(lambda: lists_server(gw, "new"))
         after = clock.now()
         assert START_CAPACITY <= capacity_share(gw, "new", after) <= max_capacity_share_at_age(after - before)
@@ -162,7 +162,7 @@
         assert capacity_share(gw, "again", clock.now()) == 1.0
         before = clock.now()
         restarted = entry("again", UNUSED_ADDRESS, since_ms=unix_ms())
-        discovery.send(restarted, entry("marker", UNUSED_ADDRESS), full=full)
+        discovery.send_change(restarted, entry("marker", UNUSED_ADDRESS), full=full)
         await wait_until(lambda: lists_server(gw, "marker"))
         after = clock.now()
         assert (
@@ -199,10 +199,10 @@
         discovery = await Discovery(entry("old", UNUSED_ADDRESS)).start()
         gw = await start_following_gateway(discovery, entry("old", UNUSED_ADDRESS))
         before, since = clock.now(), unix_ms()
-        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=since))
+        discovery.send_change(entry("new", UNUSED_ADDRESS, since_ms=since))
         await wait_until(lambda: lists_server(gw, "new"))
         jumped = 0 if jump_ms is None else since + jump_ms
-        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=jumped), entry("marker", UNUSED_ADDRESS))
+        discovery.send_change(entry("new", UNUSED_ADDRESS, since_ms=jumped), entry("marker", UNUSED_ADDRESS))
         await wait_until(lambda: lists_server(gw, "marker"))
         after = clock.now()
         assert capacity_share(gw, "new", after) <= max_capacity_share_at_age(after - before)
@@ -220,10 +220,10 @@
         )
         discovery = await Discovery(back, stays).start()
         gw = await start_following_gateway(discovery, back)
-        discovery.send(entry("back", UNUSED_ADDRESS, "Gone"))
-        discovery.send(entry("marker", UNUSED_ADDRESS), full=True)
+        discovery.send_change(entry("back", UNUSED_ADDRESS, "Gone"))
+        discovery.send_change(entry("marker", UNUSED_ADDRESS), full=True)
         await wait_until(lambda: not lists_server(gw, "stays") and not lists_server(gw, "back"))
-        discovery.send(back, stays)
+        discovery.send_change(back, stays)
         await wait_until(lambda: lists_server(gw, "stays"))
         assert capacity_share(gw, "back", clock.now()) == capacity_share(gw, "stays", clock.now()) == 1.0
 
@@ -310,12 +310,14 @@
             if running:
                 os.kill(process.pid, signal.SIGUSR1)
                 await wait_until(lambda: "stepped by" in process.log())
-            discovery.send(entry("new", new.peer.address, since_ms=unix_ms()))
-            discovery.send(
+            discovery.send_change(entry("new", new.peer.address, since_ms=unix_ms()))
+            discovery.send_change(
                 entry("old", old.peer.address, "Terminating"), entry("marker", marker.peer.address)
             )
             await send_until_reached(client, marker)
-            discovery.send(entry("old", old.peer.address), entry("marker", marker.peer.address, "Gone"))
+            discovery.send_change(
+                entry("old", old.peer.address), entry("marker", marker.peer.address, "Gone")
+            )
             await send_until_reached(client, old)
             assert await requests_sent_to(new, old, process) <= MAX_SENT_TO_COLD
 
@@ -385,12 +387,12 @@
         gw = await start_quota_sharing_gateway(discovery, counter, server)
         counts = [await counter_calls_for(gw, counter, 1) > 0]
         for number in (1, 2):
-            discovery.send(entry(f"new{number}", UNUSED_ADDRESS, "Terminating", unix_ms()))
+            discovery.send_change(entry(f"new{number}", UNUSED_ADDRESS, "Terminating", unix_ms()))
             await wait_until(lambda name=f"new{number}": lists_server(gw, name))  # type: ignore[misc]
             counts.append(await counter_calls_for(gw, counter, 1 + number) > 0)
         assert counts == [True, True, step_s == 0]
         # Quotas are shared again after a plausible start, as when the servers' clocks were set instead.
-        discovery.send(entry("new3", UNUSED_ADDRESS, "Terminating", clock.now() // clock.NS_PER_MS))
+        discovery.send_change(entry("new3", UNUSED_ADDRESS, "Terminating", clock.now() // clock.NS_PER_MS))
         await wait_until(lambda: lists_server(gw, "new3"))
         assert await counter_calls_for(gw, counter, 4) > 0
 
@@ -435,7 +437,7 @@
         client, request = await Client.to(gw), build_request(X_Contract="small")
         assert (await client.send(request))[0] == 200
         (customer,) = gw.runtime._policy.quotas.customers.values()
-        discovery.send(entry("new", UNUSED_ADDRESS, since_ms=unix_ms()))
+        discovery.send_change(entry("new", UNUSED_ADDRESS, since_ms=unix_ms()))
         await wait_until(lambda: lists_server(gw, "new"))
         since = time.monotonic_ns()
         before = clock.now()
