--- a/tests/test_unreachable.py
+++ b/tests/test_unreachable.py
@@ -77,7 +77,7 @@
     for n in range(8):
         try_all(policy, n, n * MS, {"s1"})
     policy.handle(SECOND, [listing(server("s1", started_ns=1), mode=interface.ListMode.DELTA)])
-    policy.servers.backends["s2"].relative_answer_time = 3.0  # whatever is not left out is preferred to it
+    policy.servers.backends["s2"].relative_answer_time = 3.0  # the other server is preferred if not avoided
     used = {try_all(policy, n, 20 * SECOND + n * MS, set())[-1] for n in range(100, 140)}
     assert "s1" in used
 
