--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -35,45 +35,45 @@
 EPOCHS_PER_LAP = 7
 LAP_NS = EPOCHS_PER_LAP * COUNT_TTL_NS
 
-BEACON_LIFETIME_NS = 500 * MS
-BEACON_RESOLUTION_NS = 100 * MS  # of a beacon's time: the counter's totals are exact to seven digits
+BEACON_LIFETIME_NS = 500 * MS  # the counter forgets the beacon count this long after its creation
+BEACON_RESOLUTION_NS = 100 * MS  # a beacon's time is rounded to this: totals are exact to seven digits only
 BEACON_AMOUNT = 200_000  # added by each beacon, on top of its time within the lap in BEACON_RESOLUTION_NS
 MAX_BEACONS = BEACON_AMOUNT // (LAP_NS // BEACON_RESOLUTION_NS)  # more in one total cannot be told apart
-MAX_BEACON_DELAY_NS = 150 * MS  # between the writing of a beacon and its turn at the counter
+MAX_BEACON_DELAY_NS = 150 * MS  # assumed limit from the writing of a beacon to its processing by the counter
 MAX_SLEW_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
-READ_LIFETIME_NS = MS  # of a count that a read creates: it must not shorten the life of what is added later
-LOCK_LIFETIME_NS = SECOND  # long enough for the gateway that sets the time to make that known
+READ_COUNT_LIFETIME_NS = MS  # short: a count created by a read must not expire early for a later addition
+LOCK_LIFETIME_NS = SECOND  # long enough for the gateway that holds the lock to send the first beacon
 PRESENCE_TURN_NS = COUNT_TTL_NS // 2  # one presence count is renewed for so long, then the other one
 BEACONS_PER_RENEWAL = 4  # a gateway renews a presence count before every fourth of its beacons
-ALONE_AFTER_BEACONS = 2  # own beacons in a row that met no other one: the gateway assumes that it is alone
-TAKEOVER_READS = 10  # in a row without a beacon, at the least, before the time is set anew
-FIRST_AGREEMENT_RENEWALS = 10  # on average, by all gateways of a fleet that agree for the first time
-
-READ_INTERVAL_NS = 400 * MS  # between reads of a gateway that is not in agreement, in a small fleet
-READ_INTERVAL_PER_GATEWAY_NS = 5 * MS  # the same in a large fleet: two hundred reads a second in all
-MAX_READ_BACKOFF_NS = 2 * SECOND  # between reads after calls without an answer, in a small fleet
-BEACON_INTERVAL_PER_GATEWAY_NS = 100 * MS  # ten beacons a second in all, in a medium-sized fleet
+ALONE_AFTER_BEACONS = 2  # a gateway assumes that it is alone after so many own beacons that met no other one
+TAKEOVER_READS = 10  # without a beacon, before the time is set in spite of old presence counts
+FIRST_AGREEMENT_RENEWALS = 10  # mean number of gateways that renew presence when a fleet first agrees
+
+BEACON_READ_INTERVAL_NS = 400 * MS  # a gateway of a small fleet reads so often until it is in agreement
+BEACON_READ_INTERVAL_PER_GATEWAY_NS = 5 * MS  # in a large fleet: two hundred reads a second by all gateways
+MAX_BEACON_READ_BACKOFF_NS = 2 * SECOND  # longest read interval of a small fleet if the counter is silent
+BEACON_INTERVAL_PER_GATEWAY_NS = 100 * MS  # ten beacons a second by all gateways of a medium-sized fleet
 MAX_BEACON_INTERVAL_LARGE_NS = 10 * SECOND  # between the beacons of one gateway of a large fleet
-BEACON_INTERVAL_PER_GATEWAY_HUGE_NS = 50 * MS  # twenty beacons a second in all, in a still larger fleet
+BEACON_INTERVAL_PER_GATEWAY_HUGE_NS = 50 * MS  # twenty beacons a second by all gateways of a huge fleet
 MAX_BEACON_INTERVAL_SMALL_NS = 3 * SECOND  # between the beacons of one gateway of a small fleet
-MAX_FIRST_BEACON_NS = 3 * SECOND  # until the first beacon: gateways that start at the same time wait for it
+MAX_FIRST_BEACON_DELAY_NS = 3 * SECOND  # after coming into agreement: others may wait for the first beacon
 ALONE_INTERVAL_NS = SECOND  # between the beacons of a gateway that assumes that it is alone
-COUNTER_RETURN_NS = 2 * ALONE_INTERVAL_NS  # after an outage, until others have surely sent beacons again
-SMALL_FLEET_GATEWAYS = 50  # the first reads of so many do not crowd the counter
-FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # the first reads of a larger fleet are spread over so long
-SECOND_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # second reads, if the first one found no beacon, over so long,
-MAX_SECOND_READ_SPREAD_NS = 300 * MS  # or over this, if that is shorter
+SET_TIME_DELAY_AFTER_OUTAGE_NS = 2 * ALONE_INTERVAL_NS  # by then others have surely sent beacons again
+SMALL_FLEET_GATEWAYS = 50  # the first reads of so many gateways do not crowd the counter
+FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # spreads a larger fleet's first reads
+REPEATED_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # spreads the reads that follow a first one without a beacon
+MAX_REPEATED_READ_SPREAD_NS = 300 * MS  # longest delay of a read that follows a first one without a beacon
 MAX_FIRST_ATTEMPT_NS = SECOND  # for the first attempt at agreement, which customers' calls wait for
-RETRY_DELAY_NS = 100 * MS  # before a renewal or a presence check without an answer is repeated
-MAX_RETRIES = 3
-RENEWAL_REPEAT_DELAY_NS = 20 * MS  # before a renewal that created its count is repeated
+CALL_RETRY_DELAY_NS = 100 * MS  # before an unanswered renewal or check of a presence count is repeated
+MAX_CALL_RETRIES = 3
+RENEWAL_REPEAT_DELAY_NS = 20 * MS  # before the renewal of a presence count that did not exist is repeated
 MAX_RENEWAL_REPEATS = 10
 PRESENCE_RECHECK_NS = 2 * SECOND  # between a check that found a presence count and the next check
-MAX_PRESENCE_CHECK_AGE_NS = 300 * MS  # well within a beacon's life: nobody sets the time unseen after a check
-MAX_CONFIRMING_GAP_NS = 2 * BEACON_LIFETIME_NS  # between offsets seen in two beacons that confirm each other
+MAX_PRESENCE_CHECK_AGE_NS = 300 * MS  # shorter than a beacon lives: a time set since the check is noticed
+MAX_CONFIRMING_GAP_NS = 2 * BEACON_LIFETIME_NS  # of offsets in two beacons that confirm each other
 BEACON_SETTLE_NS = BEACON_LIFETIME_NS + 300 * MS  # until a beacon that was read is gone, even a delayed one
-AGREEMENT_INTERVALS = 3  # evidence of agreement is valid for so many intervals between beacons,
-MIN_AGREEMENT_NS = 20 * SECOND  # or for as long as an outage of the counter that is soon over
+AGREEMENT_INTERVALS = 3  # evidence of agreement is valid for so many beacon intervals
+MIN_AGREEMENT_NS = 20 * SECOND  # evidence of agreement outlasts a short outage of the counter
 
 
 def _well_known_name(text: str) -> int:
@@ -91,7 +91,7 @@
 
     READ = "learn what the beacons state"
     CHECK_FIRST = "find out whether the first presence count exists"
-    CHECK_SECOND = "find out whether the second one exists"
+    CHECK_SECOND = "find out whether the second presence count exists"
     LOCK = "keep others from setting the time at the same time"
     SET_TIME = "send the first beacon, unless another gateway has set the time"
     BEACON = "tell the others the time that this gateway agrees on, and read their beacons"
@@ -116,32 +116,34 @@
         self._rng = rng
         self._offset_ns = 0  # of the agreed time from this gateway's clock
         self._agreed_until_ns: int | None = None  # none while there is no evidence of agreement
-        # The offset that beacons show, while it contradicts this gateway's own and is not confirmed.
-        self._candidate_offset_ns: int | None = None
-        self._candidate_found_ns = 0
-        self._contradicted = False  # there was agreement until beacons showed another time
+        # The offset by other gateways' beacons, while it contradicts _offset_ns and is not confirmed.
+        self._unconfirmed_offset_ns: int | None = None
+        self._unconfirmed_since_ns = 0
+        self._contradicted_by_beacons = False  # agreement ended because beacons showed another time
         self._no_beacon_since_ns: int | None = None  # the first of the latest reads that found no beacon
-        self._reads_without_beacon = 0  # in a row
-        self._presence_totals = [0] * len(PRESENCE_NAMES)  # as last read
-        self._presence_changed = False  # in the latest check
-        self._presence_checked_ns = 0  # the latest check began
-        self._presence_found_ns: int | None = None  # the latest check that found a presence count
-        self._pending: PendingCall | None = None
-        self._failed_calls = 0  # in a row, without an answer
-        self._may_set_time_ns: int | None = None  # from then on; none before the counter's first answer
+        self._reads_without_beacon = 0  # how many reads in a row have found no beacon
+        self._presence_totals = [0] * len(
+            PRESENCE_NAMES
+        )  # of the presence counts; totals last read, 0 for no count
+        self._presence_changed = False  # whether the latest check found other totals than the one before
+        self._presence_checked_ns = 0  # when the latest check of the presence counts began
+        self._presence_found_ns: int | None = None  # when a check last found a presence count
+        self._pending_call: PendingCall | None = None
+        self._failed_calls = 0  # how many calls in a row have got no answer
+        self._may_set_time_ns: int | None = None  # earliest time; none before the counter's first answer
         self._beacons_planned = 0
-        self._solitary_beacons = 0  # own beacons in a row that met no other one
+        self._solitary_beacons = 0  # own beacons in a row that met none of another gateway
         self._next_beacon_ns = 0
-        self._renewal_repeats = 0  # of the renewal that is under way
+        self._renewal_repeats = 0  # how often the current renewal of a presence count was repeated
         self._next_purpose = Purpose.READ
         self._started = False
         self.due_at_ns: int | None = None  # when to make the next call; none while one is in flight
         self._first_attempt_over = False  # whether the first attempt at agreement has ended
         self.start_deadline_ns = 0  # when the first attempt at agreement ends at the latest
-        self.clock_steps = 0  # how often the others' time was taken over; earlier readings are void
+        self.clock_steps = 0  # how often the others' time was taken over, which voids earlier readings
 
     def start(self, now: int) -> bool:
-        """Begin, unless that was done or there is nobody to agree with; return whether it began."""
+        """Schedule the first read, unless already started or the only gateway; return whether it was done."""
         if self._started or self._gateways <= 1:
             return False
         self._started, self.start_deadline_ns, self.due_at_ns = True, now + MAX_FIRST_ATTEMPT_NS, now
@@ -163,12 +165,12 @@
         That is so while the latest evidence contradicts this gateway's time.  In a larger fleet it is also so
         during the first attempt at agreement: customers' calls would leave it no room at the counter.
         """
-        return self._candidate_offset_ns is not None or (
+        return self._unconfirmed_offset_ns is not None or (
             self._gateways > SMALL_FLEET_GATEWAYS and self._is_first_attempt(now)
         )
 
     def defers_customer_calls(self, now: int) -> bool:
-        """Whether customers' calls wait until the first attempt is over: milliseconds, in a small fleet."""
+        """Whether calls for customers' counts wait for the first attempt's end: milliseconds in a small fleet."""
         return self._gateways <= SMALL_FLEET_GATEWAYS and self._is_first_attempt(now)
 
     def _is_first_attempt(self, now: int) -> bool:
@@ -176,7 +178,7 @@
 
     def take_due_call(self, now: int) -> interface.Count | None:
         """Return the call that is due, if any, and note that it is in flight."""
-        if self._pending is not None or self.due_at_ns is None or now < self.due_at_ns:
+        if self._pending_call is not None or self.due_at_ns is None or now < self.due_at_ns:
             return None
         purpose = self._next_purpose
         if purpose is Purpose.BEACON and not self.agrees(now):
@@ -192,23 +194,23 @@
             self.due_at_ns = now + BEACON_SETTLE_NS
             return None
         name, amount, ttl_ns = self._call_parameters(purpose, now)
-        self._pending, self.due_at_ns = PendingCall(purpose, name, amount, now), None
+        self._pending_call, self.due_at_ns = PendingCall(purpose, name, amount, now), None
         return interface.Count(name, amount, ttl_ns)
 
-    def awaits(self, name: int) -> bool:
+    def expects_answer_for(self, name: int) -> bool:
         """Whether an answer for the count of this name is for ``handle_answer``."""
-        return self._pending is not None and self._pending.name == name
+        return self._pending_call is not None and self._pending_call.name == name
 
     def handle_answer(self, answer: interface.Counted, now: int) -> None:
         """Process the answer to the call in flight, and schedule the next one."""
-        call, self._pending = self._pending, None
+        call, self._pending_call = self._pending_call, None
         if call is None:
             return
         if answer.status is not interface.Status.DELIVERED:
             self._handle_failure(call, answer.status, now)
             return
         if self._may_set_time_ns is None:
-            self._may_set_time_ns = now + (COUNTER_RETURN_NS if self._failed_calls else 0)
+            self._may_set_time_ns = now + (SET_TIME_DELAY_AFTER_OUTAGE_NS if self._failed_calls else 0)
         self._failed_calls = 0
         match call.purpose:
             case Purpose.READ | Purpose.SET_TIME | Purpose.BEACON:
@@ -218,7 +220,7 @@
             case Purpose.LOCK if round(answer.total) == 1:
                 self._schedule(Purpose.SET_TIME, now)
             case Purpose.LOCK:
-                self._schedule_reread(now)
+                self._schedule_next_beacon_read(now)
             case Purpose.RENEW if round(answer.total) <= 1 and self._renewal_repeats < MAX_RENEWAL_REPEATS:
                 # A check may have created the count just before, so that it lives for a millisecond only.
                 self._renewal_repeats += 1
@@ -228,24 +230,24 @@
                 self._schedule(Purpose.BEACON, self._next_beacon_ns)
 
     def _is_lap_ending(self, now: int) -> bool:
-        """Whether a beacon might be added to one of the next lap: the mean of their times would be wrong."""
+        """Whether a beacon sent now could be added to one of the next lap, which would falsify the mean."""
         return self.agreed_time(now) % LAP_NS >= LAP_NS - BEACON_SETTLE_NS
 
     def _call_parameters(self, purpose: Purpose, now: int) -> tuple[int, float, int]:
         """Name, amount and lifetime of the count in a call for this purpose."""
         match purpose:
             case Purpose.READ:
-                return BEACON_NAME, 0.0, READ_LIFETIME_NS
+                return BEACON_NAME, 0.0, READ_COUNT_LIFETIME_NS
             case Purpose.SET_TIME | Purpose.BEACON:
-                stated = self.agreed_time(now) % LAP_NS // BEACON_RESOLUTION_NS
-                return BEACON_NAME, float(BEACON_AMOUNT + stated), BEACON_LIFETIME_NS
+                lap_time_units = self.agreed_time(now) % LAP_NS // BEACON_RESOLUTION_NS
+                return BEACON_NAME, float(BEACON_AMOUNT + lap_time_units), BEACON_LIFETIME_NS
             case Purpose.LOCK:
                 return LOCK_NAME, 1.0, LOCK_LIFETIME_NS
             case Purpose.RENEW:
                 turn = self.agreed_time(now) // PRESENCE_TURN_NS
                 return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_TTL_NS
             case Purpose.CHECK_FIRST | Purpose.CHECK_SECOND:
-                return PRESENCE_NAMES[purpose is Purpose.CHECK_SECOND], 0.0, READ_LIFETIME_NS
+                return PRESENCE_NAMES[purpose is Purpose.CHECK_SECOND], 0.0, READ_COUNT_LIFETIME_NS
 
     def _handle_failure(self, call: PendingCall, status: interface.Status, now: int) -> None:
         """Schedule a retry or another call after one without an answer, which proves nothing about others."""
@@ -255,8 +257,8 @@
             self._schedule(Purpose.RENEW, now)  # most likely the time was set: others must not set it again
             return
         retried = call.purpose in (Purpose.RENEW, Purpose.CHECK_FIRST, Purpose.CHECK_SECOND)
-        if retried and self._failed_calls <= MAX_RETRIES:
-            self._schedule(call.purpose, now + self._jittered(RETRY_DELAY_NS))
+        if retried and self._failed_calls <= MAX_CALL_RETRIES:
+            self._schedule(call.purpose, now + self._jittered(CALL_RETRY_DELAY_NS))
         elif self.agrees(now):
             self._schedule(
                 Purpose.BEACON, now + self._jittered(max(ALONE_INTERVAL_NS, self._beacon_interval() // 4))
@@ -264,15 +266,15 @@
         elif self._is_first_attempt(now):
             self._schedule(Purpose.READ, now + self._jittered_read_interval() // 2)
         else:
-            longest = max(MAX_READ_BACKOFF_NS, 2 * self._read_interval())
+            longest = max(MAX_BEACON_READ_BACKOFF_NS, 2 * self._read_interval())
             self._schedule(
                 Purpose.READ, now + min(longest, self._jittered_read_interval() * self._failed_calls)
             )
 
-    def _schedule_reread(self, now: int) -> None:
+    def _schedule_next_beacon_read(self, now: int) -> None:
         """Read the beacon count again later, the later the more reads have found no beacon."""
         self._first_attempt_over = True
-        interval = min(self._read_interval(), READ_INTERVAL_NS * max(1, self._reads_without_beacon))
+        interval = min(self._read_interval(), BEACON_READ_INTERVAL_NS * max(1, self._reads_without_beacon))
         self._schedule(Purpose.READ, now + self._jittered(interval))
 
     def _handle_beacon_total(self, call: PendingCall, total: float, now: int) -> None:
@@ -285,8 +287,8 @@
             self._handle_failure(call, interface.Status.ERROR, now)  # not a sum of beacons
         else:
             self._no_beacon_since_ns = None
-            stated_ns = (others % BEACON_AMOUNT) * BEACON_RESOLUTION_NS // beacons
-            self._compare_times(stated_ns, beacons == 1, call.sent_ns, now)
+            beacon_time_ns = (others % BEACON_AMOUNT) * BEACON_RESOLUTION_NS // beacons
+            self._compare_with_beacons(beacon_time_ns, beacons == 1, call.sent_ns, now)
             self._schedule_after_beacon(call.purpose, now)
 
     def _handle_no_beacon(self, call: PendingCall, now: int) -> None:
@@ -300,7 +302,7 @@
             self._confirm_agreement(now)
             self._schedule_beacon(now)
             return
-        if self._contradicted:
+        if self._contradicted_by_beacons:
             # One delayed beacon may have contradicted all gateways: without this, none would send any more.
             self._confirm_agreement(now)
             self._schedule(Purpose.BEACON, now)
@@ -311,7 +313,7 @@
         if self._reads_without_beacon == 1:
             # Gateways that start at the same time would all go on at once and crowd the counter.  With their
             # second reads spread, one of them sets the time and the others find its beacon.
-            spread = min(self._gateways * SECOND_READ_SPREAD_PER_GATEWAY_NS, MAX_SECOND_READ_SPREAD_NS)
+            spread = min(self._gateways * REPEATED_READ_SPREAD_PER_GATEWAY_NS, MAX_REPEATED_READ_SPREAD_NS)
             self._schedule(Purpose.READ, now + int(self._rng.random() * spread))
             return
         found_recently = (
@@ -320,41 +322,41 @@
         if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_recently:
             self._schedule(Purpose.CHECK_FIRST, now)
         else:
-            self._schedule_reread(now)
+            self._schedule_next_beacon_read(now)
 
     def _handle_presence(self, purpose: Purpose, total: int, now: int) -> None:
-        """Set the time if no presence count exists, or if none has been renewed for long."""
-        which = int(purpose is Purpose.CHECK_SECOND)
-        self._presence_changed = self._presence_changed or total != self._presence_totals[which]
-        self._presence_totals[which] = total
+        """Go on to set the time if no presence count exists, or if none has been renewed for long."""
+        presence_index = int(purpose is Purpose.CHECK_SECOND)
+        self._presence_changed = self._presence_changed or total != self._presence_totals[presence_index]
+        self._presence_totals[presence_index] = total
         if purpose is Purpose.CHECK_FIRST:
             self._schedule(Purpose.CHECK_SECOND, now)
         elif not any(self._presence_totals) or self._is_presence_stale(now):
             self._schedule(Purpose.LOCK, now)
         else:
             self._presence_found_ns = now
-            self._schedule_reread(now)
+            self._schedule_next_beacon_read(now)
 
     def _is_presence_stale(self, now: int) -> bool:
         """Whether no gateway is in agreement any more, although presence counts still exist.
 
-        A last one may need some time to find that it is alone; from then on it sends beacons more often.  So
-        this waits for longer than it takes until such a gateway would have been noticed.
+        The last gateway in agreement may need some time to find that it is alone; from then on it sends
+        beacons more often.  This waits for longer than it takes to read a beacon of such a gateway.
         """
         if self._no_beacon_since_ns is None or self._presence_changed:
             self._no_beacon_since_ns, self._reads_without_beacon = now, 0
         wait = 2 * self._beacon_interval() + 2 * ALONE_INTERVAL_NS
         return now - self._no_beacon_since_ns >= wait and self._reads_without_beacon >= TAKEOVER_READS
 
-    def _compare_times(self, stated_ns: int, is_single: bool, sent_ns: int, now: int) -> None:
-        """Keep this gateway's time, slew it, or note that the beacons state another one.
+    def _compare_with_beacons(self, beacon_time_ns: int, is_single: bool, sent_ns: int, now: int) -> None:
+        """Keep this gateway's time, slew it, or note that the beacons state another time.
 
-        ``stated_ns`` is the mean of the times in the beacons, ``is_single`` whether there is just one.
-        The counter handled the call between ``sent_ns`` and ``now`` on this gateway's clock, and in agreed
-        time between the stated time and the end of the beacon's life.  So the agreed time is ahead of this
-        gateway's by ``least_ahead`` to ``most_ahead``.
+        ``beacon_time_ns`` is the mean of the times in the beacons, ``is_single`` whether there is just one
+        beacon.  The counter handled the call between ``sent_ns`` and ``now`` on this gateway's clock, and in
+        agreed time between the beacons' time and the end of the beacon's life.  So the agreed time is ahead
+        of this gateway's by ``least_ahead`` to ``most_ahead``.
         """
-        least_ahead = _lap_difference(stated_ns, self.agreed_time(now))
+        least_ahead = _lap_difference(beacon_time_ns, self.agreed_time(now))
         most_ahead = (
             least_ahead + BEACON_RESOLUTION_NS + BEACON_LIFETIME_NS + MAX_BEACON_DELAY_NS + (now - sent_ns)
         )
@@ -366,8 +368,8 @@
 
     def _confirm_agreement(self, now: int) -> None:
         self._agreed_until_ns = now + max(MIN_AGREEMENT_NS, AGREEMENT_INTERVALS * self._beacon_interval())
-        self._candidate_offset_ns = self._no_beacon_since_ns = None
-        self._contradicted = False
+        self._unconfirmed_offset_ns = self._no_beacon_since_ns = None
+        self._contradicted_by_beacons = False
         self._first_attempt_over = True
 
     def _handle_other_time(self, offset_ns: int, is_single: bool, now: int) -> None:
@@ -376,17 +378,17 @@
         It is taken over only once a later, single beacon confirms it: the first beacon may have been delayed
         by seconds, and several beacons may state different times, whose mean is no one's time.
         """
-        self._contradicted = self._contradicted or self.agrees(now)
+        self._contradicted_by_beacons = self._contradicted_by_beacons or self.agrees(now)
         self._agreed_until_ns = None
         self._first_attempt_over = True
-        seen = self._candidate_offset_ns
+        seen = self._unconfirmed_offset_ns
         confirmed = seen is not None and abs(_lap_difference(offset_ns, seen)) <= MAX_CONFIRMING_GAP_NS
-        if is_single and confirmed and now - self._candidate_found_ns >= BEACON_SETTLE_NS:
+        if is_single and confirmed and now - self._unconfirmed_since_ns >= BEACON_SETTLE_NS:
             self._offset_ns = offset_ns
             self.clock_steps += 1
             self._confirm_agreement(now)
-        elif self._candidate_offset_ns is None or (is_single and not confirmed):
-            self._candidate_offset_ns, self._candidate_found_ns = offset_ns, now
+        elif self._unconfirmed_offset_ns is None or (is_single and not confirmed):
+            self._unconfirmed_offset_ns, self._unconfirmed_since_ns = offset_ns, now
 
     def _schedule_after_beacon(self, purpose: Purpose, now: int) -> None:
         """Schedule the next call after a beacon of another gateway was read."""
@@ -402,14 +404,14 @@
             self._schedule_first_beacon(now)
 
     def _schedule_first_beacon(self, now: int) -> None:
-        """Schedule a beacon soon after agreement, as others may wait; some renew a presence count first."""
+        """Schedule a beacon soon after agreement, for which others may wait; some renew presence first."""
         self._next_beacon_ns = now + int(
-            self._rng.random() * min(MAX_FIRST_BEACON_NS, self._beacon_interval())
+            self._rng.random() * min(MAX_FIRST_BEACON_DELAY_NS, self._beacon_interval())
         )
         self._schedule_renewal_or_beacon(self._rng.random() * self._gateways < FIRST_AGREEMENT_RENEWALS, now)
 
     def _schedule_beacon(self, now: int) -> None:
-        """Schedule the next beacon, sooner if others were not met; at times renew a presence count first."""
+        """Schedule the next beacon, sooner if own ones met no others; at times renew presence first."""
         self._beacons_planned += 1
         interval = max(
             min(ALONE_INTERVAL_NS, self._beacon_interval()),
@@ -421,8 +423,8 @@
             now,
         )
 
-    def _schedule_renewal_or_beacon(self, renews: bool, now: int) -> None:
-        if renews:
+    def _schedule_renewal_or_beacon(self, renew_presence: bool, now: int) -> None:
+        if renew_presence:
             self._schedule(Purpose.RENEW, now)
         else:
             self._schedule(Purpose.BEACON, self._next_beacon_ns)
@@ -431,7 +433,7 @@
         self._next_purpose, self.due_at_ns = purpose, at
 
     def _read_interval(self) -> int:
-        return max(READ_INTERVAL_NS, self._gateways * READ_INTERVAL_PER_GATEWAY_NS)
+        return max(BEACON_READ_INTERVAL_NS, self._gateways * BEACON_READ_INTERVAL_PER_GATEWAY_NS)
 
     def _jittered_read_interval(self) -> int:
         return self._jittered(self._read_interval())
@@ -446,6 +448,6 @@
         return int(interval_ns * (0.75 + 0.25 * self._rng.random()))
 
 
-def _lap_difference(stated_ns: int, time_ns: int) -> int:
-    """By how much a stated time is ahead of another one, both taken modulo a lap: half a lap at the most."""
-    return (stated_ns - time_ns + LAP_NS // 2) % LAP_NS - LAP_NS // 2
+def _lap_difference(time_ns: int, other_ns: int) -> int:
+    """By how much one time or offset is ahead of another, modulo a lap: half a lap at the most."""
+    return (time_ns - other_ns + LAP_NS // 2) % LAP_NS - LAP_NS // 2
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -212,7 +212,7 @@
 
     def handle_counted(self, answer: interface.Counted) -> None:
         """Handle an answer of the shared counter: decide the requests that were held for it."""
-        if self.quotas.clock.awaits(answer.name):
+        if self.quotas.clock.expects_answer_for(answer.name):
             self.quotas.handle_clock_answer(answer, self.now)
             self._schedule_clock_sync()
             self._release_deferred_calls()
--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -27,34 +27,44 @@
 from gingerworks.policy.constants import EPSILON, OVERDUE_MEANS, SECOND, TARGET_AIM_FRACTIONS
 from gingerworks.policy.gap_counter import GapCounter
 
-# Weight of one answer in the mean answer times, which thus cover about two hundred answers.  Means of fewer
-# dip by chance, and a dip would set the unloaded answer time too low.
+# Least weight of a new answer in a mean answer time, which thus covers about two hundred answers.  Means of
+# fewer dip by chance, and a dip would set the unloaded answer time too low.
 MIN_MEAN_GAIN = 0.005
-MIN_ANSWERS = 20  # means and rates of fewer answers are not relied on: they may be far off by chance
+# Mean answer times and answer rates of fewer answers are not relied on: they may be far off by chance.
+MIN_ANSWERS_FOR_ESTIMATE = 20
 # Time over which the answer rate per warm server is remembered: it hardly changes, and some gateways see few
 # answers.
 CAPACITY_MEMORY_NS = 60 * SECOND
-# Time over which a request is counted into the allowances of cold servers, so that bursts are spread evenly.
+# Time over which a request is gradually counted into the slow-start allowances of cold servers, so that a
+# burst of requests does not fill them at once.
 ALLOTMENT_NS = 2 * SECOND
-SPEED_MEMORY_MEANS = 20.0  # mean answer times over which a server's speed is remembered
-# Target answer time as a multiple of the unloaded one: a short queue, which still keeps the cores busy.
+# A server's speed is remembered over so many mean answer times.
+SPEED_MEMORY_MEANS = 20.0
+# Target answer time as a multiple of the unloaded answer time: it allows a short queue, which still keeps the
+# servers' cores busy.
 TARGET_OVER_UNLOADED = 1.25
-CONNECTION_KEPT_NS = 10 * SECOND  # after an answer, the connection is assumed to be kept open for so long
-HANDSHAKE_MEANS = 0.5  # mean answer times that a new connection costs the server and its first request
-UNREACHABLE_MIN_NS = SECOND  # first pause for a server that accepts no connection: a restart may take so long
-UNREACHABLE_MAX_NS = 16 * SECOND  # longest such pause: server lists report restarts within some seconds
-UNLOADED_DRIFT = 2e-4  # growth of the unloaded answer time per answer: a tenth in five hundred answers
+# For so long after a server's last answer, the connection to it is assumed to be still open.
+CONNECTION_KEPT_NS = 10 * SECOND
+# What a new connection costs the server and its first request, in mean answer times.
+HANDSHAKE_MEANS = 0.5
+# A server that accepts no connection is first left out for this time: a restart may take so long.
+UNREACHABLE_MIN_NS = SECOND
+# A server that accepts no connection is left out for this time at most: server lists report a restart within
+# some seconds.
+UNREACHABLE_MAX_NS = 16 * SECOND
+# Growth of the unloaded answer time per answer: a tenth in five hundred answers.
+UNLOADED_DRIFT = 2e-4
 
 
 class Backend:
     """What this gateway knows of one server.
 
     ``relative_answer_time`` is its answer time as a multiple of the mean, ``capacity_share`` the part of its
-    full capacity that it had when a server was last chosen.  ``waiting_since_ns`` is the time of its last
-    answer, or of the first attempt sent after it had none in flight if that is later.
+    full capacity that it had when this gateway last chose a server.  ``waiting_since_ns`` is the time of its
+    last answer or, if later, the time when it last got an attempt while it had no other in flight.
     """
 
-    def __init__(self, entry: interface.Server, now: int, level: float) -> None:
+    def __init__(self, entry: interface.Server, now: int, slow_start_level: float) -> None:
         self.entry = entry
         self.attempts_in_flight = self.consecutive_failures = self.consecutive_failed_dials = 0
         self.ejected_until_ns = self.unreachable_until_ns = 0
@@ -64,7 +74,7 @@
         # In a large fleet each gateway may send a cold server only one request in many seconds.  The random
         # initial level spreads these first requests over time: with equal levels the server would be idle for
         # that long, and then all gateways would send at once.
-        self.slow_start = GapCounter(1.0, level, 0.0)
+        self.slow_start = GapCounter(1.0, slow_start_level, 0.0)
 
 
 class Servers:
@@ -79,7 +89,8 @@
         self.answers_seen = {c.name: 0 for c in settings.classes}
         # Recent requests that have not yet been counted into the allowances of cold servers.
         self.unallotted_requests, self.allotted_ns = 0.0, now
-        # Answers, and the time in which they came, summed over the servers and weighted by capacity share.
+        # Recent answers, and the time in which they came: seconds summed over the ready servers, each
+        # weighted by its capacity share.
         self.recent_answers = self.recent_warm_server_seconds = 0.0
 
     def apply_list(self, event: interface.ServersChanged, now: int) -> None:
@@ -101,7 +112,7 @@
                 self.backends[entry.name] = Backend(entry, now, self.rng.random())
 
     def capacity_share_at(self, backend: Backend, now: int) -> float:
-        """The least part of its full capacity that a server has; grows linearly while it is cold."""
+        """The part of its full capacity that a server has at least, which grows linearly while it is cold."""
         rules = self.settings.rules
         if backend.entry.started_ns <= 0 or now - backend.entry.started_ns >= rules.cold_ns:
             return 1.0
@@ -111,8 +122,8 @@
     def refill_slow_starts(self, now: int) -> None:
         """Refill the slow-start allowances of cold servers up to now.
 
-        A cold server gets, for each request that a warm server gets from this gateway, the fraction of one
-        that is its capacity share.
+        For each request that a warm server gets from this gateway, the allowance of a cold one grows by its
+        capacity share, which is below 1.
         """
         ready = [b for b in self.backends.values() if b.entry.phase is interface.Phase.READY]
         for backend in ready:
@@ -144,18 +155,19 @@
         # request, a gateway with few requests would combine the rate just after a request, when it is
         # highest, with the long gap before it: all gateways together then sent several times the share.
         requests = self.unallotted_requests * -math.expm1(-elapsed / ALLOTMENT_NS)
-        # When the whole fleet is cold, the servers must not get all requests and further attempts.  The bound
-        # is set by the rate of answers seen: summed over the gateways, it is no more than warm servers can
-        # answer.  With too few answers to know that rate, the requests are assumed to be no more than the
-        # servers could bear if all were warm.
-        if self.recent_answers < MIN_ANSWERS:
+        # When the whole fleet is cold, its total capacity is small.  Divided by it, the requests would let
+        # the cold servers get all requests, retries and hedges.  So the result is limited by the rate of
+        # answers per warm server that this gateway has seen: summed over the gateways, that is no more than
+        # warm servers can answer.  While too few answers were seen to know this rate, it is assumed that the
+        # servers could bear all requests if they were warm.
+        if self.recent_answers < MIN_ANSWERS_FOR_ESTIMATE:
             return requests / servers
-        most_per_s = (
+        max_requests_per_s = (
             self.settings.rules.overload_factor
             * self.recent_answers
             / max(EPSILON, self.recent_warm_server_seconds)
         )
-        return min(requests / max(1.0, total_capacity), most_per_s * elapsed / SECOND)
+        return min(requests / max(1.0, total_capacity), max_requests_per_s * elapsed / SECOND)
 
     def choose(
         self, now: int, mean: float, allowed: Iterable[Backend], tried: Sequence[str]
@@ -171,7 +183,7 @@
         # Servers that accept no connection are left out while there is any other, however many they are.
         reachable = [b for b in admissible if b.unreachable_until_ns <= now] or admissible
         untried = [b for b in reachable if b.entry.name not in tried] or reachable
-        # If more than half are ejected, the servers are hardly at fault, and ejection is not applied.
+        # If more than half of these are ejected, the servers are hardly at fault: ejection is not applied.
         healthy = [b for b in untried if b.ejected_until_ns <= now]
         pool = healthy if 2 * len(healthy) >= len(untried) else untried
         # Cold servers with an allowance come first: by expected answer time alone they would stay idle.
@@ -181,7 +193,7 @@
         return min(order, key=lambda b: order[b], default=None)
 
     def expected_wait(self, backend: Backend, now: int, mean: float) -> float:
-        """Expected answer time in mean answer times, by the attempts in flight and the learned speed."""
+        """Expected answer time as a multiple of the mean, by attempts in flight and the learned speed."""
         wait = backend.relative_answer_time * (1.0 + backend.attempts_in_flight)
         if backend.attempts_in_flight and now - backend.waiting_since_ns > OVERDUE_MEANS * mean:
             wait += (now - backend.waiting_since_ns) / mean  # stalled: no answer to any attempt in flight
@@ -219,13 +231,13 @@
             # No server has seen this attempt, and another one takes its place: it is not counted as load.
             self.unallotted_requests = max(0.0, self.unallotted_requests - 1.0)
         if outcome.status is interface.Status.DELIVERED:
-            self._delivered(backend, outcome.elapsed_ns, request_class, now)
+            self._learn_from_answer(backend, outcome.elapsed_ns, request_class, now)
         elif outcome.status is interface.Status.DIAL_FAILED:
             self._avoid_unreachable(backend, now)
         elif outcome.status not in (interface.Status.CANCELLED, interface.Status.UNUSED):
             self._eject(backend, request_class, now)
 
-    def _delivered(
+    def _learn_from_answer(
         self, backend: Backend, elapsed_ns: int, request_class: interface.RequestClass, now: int
     ) -> None:
         """Learn from an answer: the server's speed, and the mean and unloaded answer time of its class."""
@@ -237,22 +249,22 @@
         )
         backend.speed_updated_ns = backend.last_answer_ns = now
         backend.consecutive_failures = backend.consecutive_failed_dials = backend.ejected_until_ns = 0
-        ratio = elapsed_ns / self.mean_answer_ns[name]
+        answer_time_ratio = elapsed_ns / self.mean_answer_ns[name]
         self.answers_seen[name] += 1
-        # The initial mean, which is assumed, weighs as much as five answers.
+        # The initial mean answer time, which is assumed, weighs as much as five answers.
         gain = max(MIN_MEAN_GAIN, 1 / (5 + self.answers_seen[name]))
         self.mean_answer_ns[name] += gain * (
             min(elapsed_ns, request_class.aim_ns) - self.mean_answer_ns[name]
         )
-        # The unloaded answer time is the shortest mean seen, which is slowly forgotten.
+        # The unloaded answer time is the shortest mean answer time seen, which is slowly forgotten.
         unloaded_ns = self.unloaded_answer_ns[name] * (1 + UNLOADED_DRIFT)
-        unloaded_ns = math.inf if self.answers_seen[name] < MIN_ANSWERS else unloaded_ns
+        unloaded_ns = math.inf if self.answers_seen[name] < MIN_ANSWERS_FOR_ESTIMATE else unloaded_ns
         self.unloaded_answer_ns[name] = min(unloaded_ns, self.mean_answer_ns[name])
-        backend.relative_answer_time += weight * (min(ratio, 10.0) - backend.relative_answer_time)
+        backend.relative_answer_time += weight * (min(answer_time_ratio, 10.0) - backend.relative_answer_time)
 
     def _avoid_unreachable(self, backend: Backend, now: int) -> None:
-        """Leave out a server that accepts no connection, each time for longer, up to a limit."""
-        # A process that starts there is reported with a new start time, which ends the pause.
+        """Leave out a server that accepts no connection, twice as long for each failure, up to a limit."""
+        # A new process on that server is listed with a new start time, and the pause does not apply to it.
         pause_ns = min(UNREACHABLE_MAX_NS, UNREACHABLE_MIN_NS << backend.consecutive_failed_dials)
         backend.consecutive_failed_dials += 1
         backend.unreachable_until_ns = now + int(pause_ns * (0.75 + 0.5 * self.rng.random()))
