--- a/gingerworks/gateway/arrival_times.py
+++ b/gingerworks/gateway/arrival_times.py
@@ -21,7 +21,7 @@
     """The times between which the data of one read arrived."""
 
     earliest_ns: int
-    latest_ns: int  # arrival of the last byte
+    latest_ns: int  # when the last byte of the read arrived
 
 
 def last_data_age_ns(sock: socket.socket) -> int | None:
@@ -39,12 +39,13 @@
 class ArrivalTracker:
     """Finds the arrival times of one connection's data; its reader reports each read and each pause.
 
-    The kernel knows the age of the latest data only, and some systems report none or measure it with another
-    clock.  So an age counts only back to the last time at which the connection held nothing unread.
+    The kernel knows the age of the latest data only, and some systems report none or measure it with
+    another clock.  So an age that points to a time before the connection last held no unread data is cut to
+    that time.
     """
 
     def __init__(self, sock: socket.socket, empty_at_ns: int) -> None:
-        """No data came before ``empty_at_ns``."""
+        """Track a connection on which no data arrived before ``empty_at_ns``."""
         self._socket = sock
         self._empty_at_ns = empty_at_ns  # all unread data came after this time
         self._read_began_at_ns = empty_at_ns
@@ -58,13 +59,14 @@
         """Reading pauses: data that arrives meanwhile may stay unread for as long as the pause lasts."""
         self._paused = True
 
-    def resume(self, began_at_ns: int, emptied: bool) -> None:
-        """Reading goes on; ``emptied`` says that nothing was unread at ``began_at_ns``.
+    def resume(self, checked_at_ns: int, emptied: bool) -> None:
+        """Reading goes on after a pause; ``emptied`` says that no data was unread at ``checked_at_ns``.
 
-        In that case data that arrives from now on did not arrive during the pause.
+        If so, all data read from now on arrived after that time.  Otherwise some may have arrived at any time
+        during the pause.
         """
         if emptied:
-            self._empty_at_ns, self._paused = began_at_ns, False
+            self._empty_at_ns, self._paused = checked_at_ns, False
 
     def end_read(self, emptied: bool) -> ArrivalTimes:
         """The arrival times of this read's data; ``emptied`` says that it took all that was unread."""
--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -25,20 +25,26 @@
 from gingerworks.gateway.requests import MAX_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestRejected
 from gingerworks.gateway.system_errors import RETRYABLE
 
-# For one message with its framing: each byte of a body in tiny chunks comes with about six bytes of framing.
+# The size limit of one request with its framing: in a body of one-byte chunks, each byte comes with about six
+# bytes of framing.
 MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
-MAX_READ_AHEAD = 1  # requests that wait behind the one in flight; with more of them, reading pauses
-# For a request to arrive whole: the first one counts from the accept, a further one from its first byte.
+MAX_READ_AHEAD = 1  # reading pauses when more requests than this wait behind the one in flight
+# The time within which a request must arrive whole: from the accept for the first request of a connection,
+# and from its first byte for any further one.
 REQUEST_TIMEOUT_NS = 2 * clock.NS_PER_S
-IDLE_TIMEOUT_NS = 3 * clock.NS_PER_S  # between requests
-ANSWER_READ_TIMEOUT_NS = 2 * clock.NS_PER_S  # for a client to read its answer
-# While reading is paused, the kernel's receive buffer may fill up, and a FIN behind it stays unseen.  It
-# holds 65,000 to 130,000 bytes by default, and fewer if they come in small segments.  From this many unread
-# bytes on, a disconnect counts as possibly hidden.
+IDLE_TIMEOUT_NS = 3 * clock.NS_PER_S  # a connection is closed after this long between two requests
+ANSWER_READ_TIMEOUT_NS = 2 * clock.NS_PER_S  # a client that takes longer to read its answer is cut off
+# The number of unread bytes from which on a client's disconnect counts as possibly hidden.  While reading
+# is paused, the kernel's receive buffer may fill up, and a FIN behind it stays unseen.  The buffer holds
+# 65,000 to 130,000 bytes by default, and fewer if they come in small segments.
 HIDDEN_DISCONNECT_BYTES = 60 * 1024
-HIDDEN_DISCONNECT_REJECTED_BYTES = 8 * 1024  # the same after a rejection, when none of it will be read
-LINGER_S = 0.3  # before the close: for a client that is still sending to read why it was rejected
-RETRY_AFTER_OVERLOAD = b"Retry-After: 0.100\r\n"  # sent with each rejection by 503
+# The number of unread bytes from which on a disconnect counts as possibly hidden once the client had a request
+# rejected: nothing more is read from its connection then.
+HIDDEN_DISCONNECT_REJECTED_BYTES = 8 * 1024
+# After a rejection the connection stays half open for this long, so that a client that is still sending can
+# read why its request was rejected.
+LINGER_S = 0.3
+RETRY_AFTER_OVERLOAD = b"Retry-After: 0.100\r\n"  # the header field sent when a request is rejected with 503
 
 REASON_PHRASES = {
     200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
@@ -59,20 +65,21 @@
         self.parser = httptools.HttpRequestParser(self)
         self.message = Message()
         self.pending: deque[Message | RequestRejected] = deque()  # read and not yet handled, in order
-        self.request_id: int | None = None  # of the request in flight
+        self.request_id: int | None = None  # the id of the request in flight
         self.state_since_ns = clock.now()  # start of the current wait, for the timeouts and for eviction
         self.arrivals = ArrivalTracker(sock, owner.backlog_empty_at_ns)
         self.has_requested = False  # a first request was handled or rejected
         self.closing = False  # the last answer was written: no further request is handled
-        self.reading_stopped = False  # for good: whatever still comes is ignored
+        self.reading_stopped = False  # for good: whatever the client still sends is ignored
         self.keep_alive = True
         self.reading_paused = False
         self.write_blocked = False  # the client is slow to read the answers that were written
-        self.receiving = self.receiving_head = False  # within a message, and within its head
-        # Messages begun in the latest read; bytes received of the incomplete message, without those of a read
-        # that also held other messages.
+        self.receiving = self.receiving_head = False  # a request, or its head, has begun and is incomplete
+        # ``messages_begun`` counts the requests begun in the latest read.  ``incomplete_bytes`` counts the
+        # bytes received of an incomplete request, except those of reads that also held a part of another
+        # request.
         self.messages_begun = self.incomplete_bytes = 0
-        self.held_body_bytes = 0  # counted against the limit over all clients
+        self.held_body_bytes = 0  # body bytes counted against the limit on all clients together
         self.arrived_at_ns = 0  # the earliest time at which the data being parsed can have come
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -152,12 +159,12 @@
     def _resume(self) -> None:
         assert self.transport is not None
         self.reading_paused = False
-        began_at_ns = clock.now()
-        self.arrivals.resume(began_at_ns, emptied=not self.has_unread_input())
+        checked_at_ns = clock.now()
+        self.arrivals.resume(checked_at_ns, emptied=not self.has_unread_input())
         self.transport.resume_reading()
 
     def _reject(self, rejection: RequestRejected) -> None:
-        """Queue an error answer behind the pending requests, and read nothing further."""
+        """Queue an error answer behind the pending requests, and read nothing more from the client."""
         if self.reading_stopped:
             return
         self.pending.append(rejection)
@@ -266,10 +273,10 @@
         """Final answer served: forward a server's answer."""
         self._finish_request(200, answer.body, b"".join(b"%b: %b\r\n" % header for header in answer.headers))
 
-    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
-        """Final answer refused: 503 if an attempt was made (``sent_on``), else 429."""
+    def send_refusal(self, retry_after_ns: int, was_attempted: bool) -> None:
+        """Final answer refused: 503 if an attempt was made on a server (``was_attempted``), else 429."""
         head = b"Retry-After: %.3f\r\n" % (retry_after_ns / clock.NS_PER_S)
-        self._finish_request(503 if sent_on else 429, b"refused", head)
+        self._finish_request(503 if was_attempted else 429, b"refused", head)
 
     def send_failure(self) -> None:
         """Final answer failed."""
@@ -289,7 +296,7 @@
             self._release_held_body()
         if self.transport is None:
             return
-        last = self.reading_stopped and not self.pending  # nothing further is read, nothing read is left
+        last = self.reading_stopped and not self.pending  # no request is pending and none will be read
         keep = self.keep_alive and not last and not (self.owner.shutting_down and self._is_last_answer())
         self.transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n%b"
@@ -391,7 +398,8 @@
     def reject_incomplete(self) -> None:
         """Reject an incomplete request during the shutdown, as the rest of it would come too late.
 
-        Not if unread input is there: it may be the rest, and is read in the loop's next turn.
+        A client with unread input is spared: that may be the rest of its request, and is read in the event
+        loop's next turn.
         """
         if self.receiving and self.request_id is None and not self.closing and not self.has_unread_input():
             self._reject(RequestRejected(503, "shutting down: send it to another gateway"))
@@ -402,10 +410,10 @@
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def is_idle(self) -> bool:
-        """Whether it is between requests and all answers are sent.
+        """Whether the connection is between requests and all answers are sent.
 
-        With an answer unsent it is not idle: an abort would cut that answer off, and a close would wait for
-        the client to read it and free no room until then.
+        With an answer unsent the connection is not idle: an abort would cut that answer off, and a close
+        would wait for the client to read it and free no room until then.
         """
         return self.has_no_request() and not self.has_unsent_output()
 
@@ -416,8 +424,8 @@
     def has_unread_input(self) -> bool:
         """Whether input is unread, or may be.
 
-        After a retryable error it may be: closing then could drop a request.  Any other error means that the
-        connection is broken and nobody waits for an answer.
+        After a retryable error some may be unread, and closing the connection could drop a request.  Any
+        other error means that the connection is broken and nobody waits for an answer.
         """
         try:
             return bool(self.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -30,7 +30,7 @@
 # delays in a busy event loop.
 ANSWER_MARGIN_NS = 20 * clock.NS_PER_MS
 UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS  # advice to a client whose request was not sent to a server
-ANSWER_MARGIN_SHARE = 0.25  # for a short wait the margin is this share of it at the most
+ANSWER_MARGIN_SHARE = 0.25  # the most that ``ANSWER_MARGIN_NS`` may take of a request's remaining time
 
 log = logging.getLogger(__name__)
 
@@ -41,8 +41,8 @@
     def send_answer(self, answer: Answer) -> None:
         """Forward a server's answer."""
 
-    def send_refusal(self, retry_after_ns: int, sent_on: bool) -> None:
-        """Refuse the request, which may safely be sent again; ``sent_on`` tells if a server was tried."""
+    def send_refusal(self, retry_after_ns: int, was_attempted: bool) -> None:
+        """Refuse the request, which may safely be sent again; ``was_attempted``: an attempt was made."""
 
     def send_failure(self) -> None:
         """Report that the request failed and may have run."""
@@ -78,23 +78,23 @@
         self.head = head
         self.body = body
         self.awaits_answer = True  # until it has its final answer or the client has disconnected
-        self.attempts: list[Attempt | None] = []  # by number; none for those that have ended
+        self.attempts: list[Attempt | None] = []  # by attempt number; None for each that has ended
         self.open_attempts = 0
         self.may_have_run = False  # whether one of its attempts may have run on a server
-        self.deadline_ns = deadline_ns  # the client's, or the shutdown's if that is sooner
+        self.deadline_ns = deadline_ns  # the client's deadline, or the shutdown's if sooner
 
     def remaining_ns(self) -> int:
         """The time until the deadline."""
         return self.deadline_ns - clock.now()
 
-    def render(self, left_ns: int) -> bytes:
+    def render(self, attempt_time_left_ns: int) -> bytes:
         """The bytes to send to a server, with the time that the gateway will wait for the answer.
 
         That time is limited by the client's deadline, as the process may have been delayed since the policy
         decided on the attempt.
         """
-        left_s = max(min(left_ns, self.remaining_ns()), clock.NS_PER_MS) / clock.NS_PER_S
-        return b"%bX-Time-Left: %.3f\r\n\r\n%b" % (self.head, left_s, self.body)
+        time_left_s = max(min(attempt_time_left_ns, self.remaining_ns()), clock.NS_PER_MS) / clock.NS_PER_S
+        return b"%bX-Time-Left: %.3f\r\n\r\n%b" % (self.head, time_left_s, self.body)
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,7 +111,7 @@
         self._loop = loop
         self._config = config
         self._backends = backends
-        self._server_starts = ServerStarts()
+        self._server_start_times = ServerStarts()
         self._policy = Policy(config.seed, config.settings, clock.now())
         self._rng = random.Random(config.seed)
         self._classes = {kind.name: kind for kind in config.settings.classes}
@@ -166,8 +166,10 @@
         self._last_request_id += 1
         request_id, now = self._last_request_id, clock.now()
         waited_ns = 0 if arrived_at_ns is None else now - arrived_at_ns
-        left_ns = min(request.ttl_ns - waited_ns, self._classes[request.class_name].deadline_ns)
-        deadline_ns = now + left_ns - int(min(ANSWER_MARGIN_NS, ANSWER_MARGIN_SHARE * max(0, left_ns)))
+        time_left_ns = min(request.ttl_ns - waited_ns, self._classes[request.class_name].deadline_ns)
+        deadline_ns = (
+            now + time_left_ns - int(min(ANSWER_MARGIN_NS, ANSWER_MARGIN_SHARE * max(0, time_left_ns)))
+        )
         if self._answers_due_ns is not None:
             deadline_ns = min(deadline_ns, self._answers_due_ns)
         self._in_flight[request_id] = InFlightRequest(client, request, head, body, deadline_ns)
@@ -191,7 +193,7 @@
 
     def update_servers(self, change: Change, cached: bool = False) -> None:
         """Apply a server list or a change of it, from discovery or (if ``cached``) the configuration."""
-        change = self._server_starts.correct_start_times(change, cached)
+        change = self._server_start_times.correct_start_times(change, cached)
         self._backends.update_servers(change)
         mode = (
             interface.ListMode.CACHED
@@ -404,18 +406,18 @@
         The event loop's clock is coarse and may fire early, while the policy sets each timer only once and
         must not get its event before it is due.
         """
-        left_ns = due_ns - clock.now()
-        if left_ns <= 0:
+        until_due_ns = due_ns - clock.now()
+        if until_due_ns <= 0:
             self._post(interface.Timer(token))
         else:
             self._loop.call_later(
-                math.ceil(left_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
+                math.ceil(until_due_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
             )
 
     def _call_counter(self, action: interface.Count) -> None:
         # The names of shared counts are derived from the time.  If this machine's clock disagrees with the
-        # other gateways', its calls would go to other names, and customers would get their quota twice.
-        if self.counter is not None and self._server_starts.clock_check.is_plausible:
+        # other gateways', its calls would add to other counts, and customers would get their quota twice.
+        if self.counter is not None and self._server_start_times.clock_check.is_plausible:
             self.counter.call(action)
         else:
             self._post(interface.Counted(action.name, interface.Status.DIAL_FAILED, 0.0, 0))
