--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -29,19 +29,19 @@
     describe_error,
 )
 
-# A connection that was idle for longer is replaced before a call: the counter may just be closing it.
+# A connection that was idle for longer than this is replaced before a call: the counter may be closing it.
 MAX_IDLE_NS = 3 * clock.NS_PER_S
-# With calls in flight and no answer at all for this many times the wait for a call, the counter is taken for
-# unreachable, and the connection is closed.
+# If calls are in flight and no answer at all comes for this many times the wait for one call, the counter is
+# taken for unreachable, and the connection is closed.
 SILENT_AFTER_WAITS = 2.0
 CONNECT_TIMEOUT_S = 0.25
-# Mean delays before connecting again after a failure, each with a random part; they double from the one to
-# the other.
+# The mean delay before connecting again after a failure; it doubles with each failure in a row, from the
+# minimum to the maximum.  Each delay is spread at random around its mean.
 MIN_RECONNECT_DELAY_NS = 50 * clock.NS_PER_MS
 MAX_RECONNECT_DELAY_NS = clock.NS_PER_S
-MAX_CALLS_IN_FLIGHT = 4096  # on the connection; further calls are rejected without being sent
-MAX_LINE_BYTES = 256  # of an answer
-MAX_LIFETIME_MS = 60_000  # that a call may ask for the count which it creates
+MAX_CALLS_IN_FLIGHT = 4096  # calls beyond this number are rejected without being sent
+MAX_LINE_BYTES = 256  # the longest answer line that is accepted
+MAX_LIFETIME_MS = 60_000  # the longest lifetime that a call may request for the count that it creates
 
 log = logging.getLogger(__name__)
 
@@ -54,7 +54,7 @@
     def __init__(self, action: interface.Count, started_ns: int) -> None:
         self.action = action
         self.started_ns = started_ns
-        self.awaits_result = True  # its ``Counted`` has not been reported yet
+        self.awaits_result = True  # the call's ``Counted`` event has not been reported yet
         lifetime_ms = min(MAX_LIFETIME_MS, max(1, action.ttl_ns // clock.NS_PER_MS))
         self.line = f"bump {action.name} {action.amount:.7f} {lifetime_ms}\r\n".encode()
         self.sent_bytes = 0  # bytes of the line that the kernel has accepted
@@ -85,13 +85,14 @@
         self._rng = random.Random(seed)
         self._socket: socket.socket | None = None
         self._dial: Dial | None = None
-        self._calls: deque[Call] = deque()  # without an answer, in the order of the answers
-        self._unsent: deque[Call] = deque()  # those of them that are not fully sent
+        self._calls: deque[Call] = deque()  # calls without an answer, in the order of their answers
+        self._unsent: deque[Call] = deque()  # calls whose line is not fully sent yet
         self._input = b""
         self._last_used_ns = self._last_received_ns = 0
         self._reconnect_delay_ns = MIN_RECONNECT_DELAY_NS
         self._reconnect_at_ns = 0
-        self._status_until_reconnect = interface.Status.DIAL_FAILED  # of calls until then
+        # Calls made before ``_reconnect_at_ns`` end with this status.
+        self._status_until_reconnect = interface.Status.DIAL_FAILED
         self._logged_reason = ""  # the last logged reason why there is no connection
         self._flush_scheduled = self._awaits_writable = self._retired = self._has_received = False
 
@@ -145,9 +146,9 @@
         self._dial = None
         try:
             self._loop.add_reader(sock.fileno(), self._on_readable)
-        except OSError as fault:
+        except OSError as error:
             sock.close()
-            return self._on_connect_failed(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
+            return self._on_connect_failed(DialError.from_errno(DialFailure.LOCAL, error.errno or 0))
         self._socket = sock
         self._reconnect_delay_ns, self._logged_reason = MIN_RECONNECT_DELAY_NS, ""
         self._last_used_ns = clock.now()
@@ -178,10 +179,10 @@
             sent_bytes = self._socket.send(b"".join(call.line[call.sent_bytes :] for call in self._unsent))
         except (BlockingIOError, InterruptedError):
             sent_bytes = 0
-        except OSError as fault:
-            if fault.errno in RESOURCE_SHORTAGE:
+        except OSError as error:
+            if error.errno in RESOURCE_SHORTAGE:
                 return self._retry_flush_later()
-            log.info("counter: connection lost: %s", describe_error(fault.errno or 0))
+            log.info("counter: connection lost: %s", describe_error(error.errno or 0))
             return self._handle_connection_loss()
         self._last_used_ns = clock.now()
         self._count_sent_bytes(sent_bytes)
@@ -198,7 +199,7 @@
                 self._unsent.popleft()
 
     def _retry_flush_later(self) -> None:
-        """Write again after a pause, as this host has no buffers for it.
+        """Write again after a pause, as this host has no buffer space for the data now.
 
         The socket counts as writable all the time, so waiting for that would call the writer again and again.
         The connection is kept: if it were closed, each call in flight might have been added or not.
@@ -221,10 +222,10 @@
         assert self._socket is not None
         try:
             data = self._socket.recv(65536)
-        except OSError as fault:
-            if fault.errno in RESOURCE_SHORTAGE:
+        except OSError as error:
+            if error.errno in RESOURCE_SHORTAGE:
                 return self._retry_read_later()
-            if fault.errno in RETRYABLE:
+            if error.errno in RETRYABLE:
                 return None  # the connection is intact, and the data stays in the kernel
             data = b""
         if not data:
--- a/gingerworks/gateway/discovery.py
+++ b/gingerworks/gateway/discovery.py
@@ -33,29 +33,31 @@
 # any number of gateways: either the silence of an open watch, the delay before it is reopened, a connection
 # and the first line; or the delay after a refusal, a connection and the first line.
 CHANGE_DEADLINE_S = 6.0
-# Of an open watch: discovery sends an empty line every 2 s, so one is certainly missing by then.
+# An open watch on which nothing comes for this long is taken for broken: discovery sends an empty line every
+# 2 s, so at least one is missing by then.
 SILENCE_TIMEOUT_S = 2.9
-# From the request to the first line: an overloaded discovery takes about 2 s to refuse a request.
+# The longest wait from the request to the first line of the answer: an overloaded discovery takes about 2 s
+# to refuse a request.
 ANSWER_TIMEOUT_S = 2.3
-# Once an answer has begun, the least wait for more of its first line, from the last bytes received: the
-# discovery agent writes that line in one go.
+# While the first line of an answer is incomplete, the gateway waits at least this long after the last bytes
+# received.  It need not be longer, as the discovery agent writes that line in one go.
 LINE_STALL_TIMEOUT_S = 0.5
-# For one more read after a read has timed out: an event loop that was delayed runs its timers before it reads
-# data that had arrived in time.
+# The time-out of one more read after a read has timed out: an event loop that was delayed runs its timers
+# before it reads data that had arrived in time.
 FINAL_READ_S = 0.02
-CONNECT_TIMEOUT_S = 0.5  # the discovery agent runs on this machine
+CONNECT_TIMEOUT_S = 0.5  # short, as the discovery agent runs on this machine
 # Mean delay before a watch is opened again, unless it was refused.  It is short because the gateway is
 # expected to know what the agent knows, and a draining server may have a grace period of only 0.25 s.
 REOPEN_DELAY_S = 0.05
-LOOP_DELAY_S = 0.1  # allowance for a busy event loop
+LOOP_DELAY_S = 0.1  # the allowance for delays in a busy event loop
 MAX_REFUSED_DELAY_S = CHANGE_DEADLINE_S - CONNECT_TIMEOUT_S - ANSWER_TIMEOUT_S - LOOP_DELAY_S
-# The upper bound of the first delay after a refusal grows by this much with each gateway: this is the share
-# of discovery's time for one request, so all gateways together send about one request in it.
+# The upper bound of the first delay after a refusal grows by this much with each gateway of the fleet.  It
+# is each request's share of discovery's time, so all gateways together send about one request in it.
 REFUSED_DELAY_PER_GATEWAY_S = 0.1
-MIN_REFUSED_DELAY_BOUND_S = 0.4  # the least upper bound of that delay, however few gateways there are
+MIN_REFUSED_DELAY_BOUND_S = 0.4  # the upper bound of the first delay after a refusal is at least this
 MAX_LINE_BYTES = 1 << 20  # enough for thousands of servers in one line
 MAX_SERVERS = 4096
-MAX_INDEX = 1 << 53  # JSON numbers are exact up to here
+MAX_INDEX = 1 << 53  # versions of the list are below this: JSON numbers are exact up to here
 
 PHASES = {
     "Ready": interface.Phase.READY,
@@ -66,7 +68,7 @@
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 log = logging.getLogger(__name__)
-pause = asyncio.sleep  # a name of its own, which tests replace
+pause = asyncio.sleep  # a name in this module, so that tests can replace it
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,8 +101,8 @@
     for entry in raw["endpoints"]:
         try:
             endpoints.append(_endpoint(entry))
-        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as fault:
-            log.warning("discovery: skipping a malformed entry: %.120s", fault)
+        except (ValueError, TypeError, KeyError, AttributeError, OverflowError) as error:
+            log.warning("discovery: skipping a malformed entry: %.120s", error)
     return Change(index, raw.get("snapshot") is True, tuple(endpoints))
 
 
@@ -219,12 +221,12 @@
             reason, self._state = "the stream ended", WatchState.CONNECTING
             try:
                 await self._open_and_read()
-            except OSError as fault:
-                reason = describe_error(fault.errno) if fault.errno else str(fault) or type(fault).__name__
-                if fault.errno in RESOURCE_SHORTAGE:
+            except OSError as error:
+                reason = describe_error(error.errno) if error.errno else str(error) or type(error).__name__
+                if error.errno in RESOURCE_SHORTAGE:
                     self._state = WatchState.LOCAL_SHORTAGE
-            except (ValueError, httptools.HttpParserError) as fault:
-                reason = str(fault) or type(fault).__name__
+            except (ValueError, httptools.HttpParserError) as error:
+                reason = str(error) or type(error).__name__
             except Exception:
                 # An unexpected error must not end the watch unnoticed; it goes on with the whole list.
                 log.exception("discovery: unexpected error in the watch")
@@ -303,9 +305,9 @@
         for line in lines:
             try:
                 self._process_line(line)
-            except (ValueError, RecursionError) as fault:
+            except (ValueError, RecursionError) as error:
                 self._index = 0  # a change may have been missed: request the whole list
-                raise ValueError(f"invalid line: {fault}") from None
+                raise ValueError(f"invalid line: {error}") from None
 
     def _process_line(self, line: bytes) -> None:
         if line.strip():
@@ -314,7 +316,8 @@
                 return
             change = change_from(json.loads(text))
             if not change.full and change.index < self._index:
-                # The known version may have been far too high, which would rule out all later changes.
+                # The version that is known here may be wrong and far too high, and would then rule out all
+                # later changes.
                 raise ValueError("the change is older than the list")
             self._index = change.index
             self._on_change(change)
