--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -56,8 +56,8 @@
             known = change_from(self._config.known)
             self.runtime.update_servers(Change(known.index, True, known.endpoints), cached=True)
             index = known.index
-        except ValueError as fault:
-            log.warning("known: %s; using the server list from discovery only", fault)
+        except ValueError as error:
+            log.warning("known: %s; using the server list from discovery only", error)
         watch = self._start_watch(self._config.discovery, index)
         self.frontend.listen(self._config.listen)
         self._accept_task = self._loop.create_task(self._accept_after_first_list(watch))
@@ -89,8 +89,8 @@
         """
         try:
             config = load(environment, is_reload=True)
-        except (ConfigError, interface.SettingsError) as fault:
-            log.error("configuration: %s; keeping the former one", fault)
+        except (ConfigError, interface.SettingsError) as error:
+            log.error("configuration: %s; keeping the former one", error)
             return
         former, self._config = self._config, config
         log.info("configuration reread: discovery %s:%d, counter %s", *config.discovery, config.counter)
@@ -137,13 +137,13 @@
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
         config = load(os.environ)
-    except (ConfigError, interface.SettingsError) as fault:
-        print(f"configuration: {fault}", file=sys.stderr)
+    except (ConfigError, interface.SettingsError) as error:
+        print(f"configuration: {error}", file=sys.stderr)
         return 2
     try:
         uvloop.run(serve(config))
-    except OSError as fault:
-        print(f"cannot run: {fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"cannot run: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -127,8 +127,8 @@
         assert self.attempt is not None
         try:
             self.backends.loop.add_reader(sock.fileno(), self.on_readable)
-        except OSError as fault:
-            return self.backends.end_attempt(self, self.backends.send_failure_status(fault))
+        except OSError as error:
+            return self.backends.end_attempt(self, self.backends.send_failure_status(error))
         if not self.attempt.may_start():
             return self.backends.end_attempt(self, interface.Status.UNUSED)
         # While this was connecting, the server may have been drained, removed or restarted.  A busy event
@@ -164,10 +164,10 @@
             self.unsent = self.unsent[self.socket.send(self.unsent) :]
         except (BlockingIOError, InterruptedError):
             pass
-        except OSError as fault:
+        except OSError as error:
             # A failed send(2) accepts no byte, so the request is incomplete at the server and never ran.
             # After a resource shortage, waiting until the socket is writable would be a busy loop: it is.
-            return self.backends.end_attempt(self, self.backends.send_failure_status(fault))
+            return self.backends.end_attempt(self, self.backends.send_failure_status(error))
         if bool(self.unsent) != self.watching_writable:
             self.watching_writable = bool(self.unsent)
             if self.watching_writable:
@@ -181,10 +181,10 @@
         assert self.socket is not None
         try:
             data = self.socket.recv(65536)
-        except OSError as fault:
-            if fault.errno in RESOURCE_SHORTAGE:
+        except OSError as error:
+            if error.errno in RESOURCE_SHORTAGE:
                 return self._read_again_later()
-            if fault.errno in RETRYABLE:
+            if error.errno in RETRYABLE:
                 return None  # the connection still works; its data stays in the kernel
             data, self.ends_at_close = b"", False  # a reset does not end an answer
         if self.attempt is None:
@@ -200,10 +200,10 @@
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.keep_alive = False
             if not self.answer_complete:
-                return self._reject_answer(str(fault.__context__ or fault))
+                return self._reject_answer(str(error.__context__ or error))
         return self._end_if_complete()
 
     def _read_again_later(self) -> None:
@@ -494,11 +494,11 @@
         self._report_shortage(str(error), error.code)
         return interface.Status.UNUSED
 
-    def send_failure_status(self, fault: OSError) -> interface.Status:
+    def send_failure_status(self, error: OSError) -> interface.Status:
         """The status of an attempt whose request could not be written completely, so that it never ran."""
-        if fault.errno not in RESOURCE_SHORTAGE:
+        if error.errno not in RESOURCE_SHORTAGE:
             return interface.Status.DIAL_FAILED
-        self._report_shortage(describe_error(fault.errno), fault.errno)
+        self._report_shortage(describe_error(error.errno), error.errno)
         return interface.Status.UNUSED
 
     def _report_shortage(self, text: str, code: int) -> None:
--- a/gingerworks/gateway/config.py
+++ b/gingerworks/gateway/config.py
@@ -56,8 +56,8 @@
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
-    except (OSError, ValueError, RecursionError) as fault:
-        raise ConfigError(f"NODE_CONFIG: {fault}") from None
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigError(f"NODE_CONFIG: {error}") from None
     if not isinstance(raw, dict):
         raise ConfigError("NODE_CONFIG: not an object")
     overrides = {
@@ -76,8 +76,8 @@
     try:
         settings = wire.settings_from(fields)
         idle_ns = fields.integer("limits.conn-idle-ns", "15000000000")
-    except ValueError as fault:
-        raise ConfigError(str(fault)) from None
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
     if idle_ns <= 0:
         raise ConfigError("settings: limits.conn-idle-ns is out of range")
     if settings.has_counter and not raw.get("counter"):
--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -61,9 +61,9 @@
         self._socket = _start_connecting(address)
         try:
             loop.add_writer(self._socket.fileno(), self._on_writable)
-        except OSError as fault:
+        except OSError as error:
             self._socket.close()
-            raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
+            raise DialError.from_errno(DialFailure.LOCAL, error.errno or 0) from error
         self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
@@ -85,9 +85,9 @@
     def _on_writable(self) -> None:
         try:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        except OSError as fault:
+        except OSError as error:
             # It is unknown whether the connection was established, but nothing was sent on it.
-            return self._fail(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
+            return self._fail(DialError.from_errno(DialFailure.LOCAL, error.errno or 0))
         if code:
             failure = DialFailure.LOCAL if code in LOCAL_CONNECT_ERRORS else DialFailure.UNREACHABLE
             return self._fail(DialError.from_errno(failure, code))
@@ -100,13 +100,13 @@
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-    except OSError as fault:
-        raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
+    except OSError as error:
+        raise DialError.from_errno(DialFailure.LOCAL, error.errno or 0) from error
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as fault:
+    except OSError as error:
         sock.close()
-        raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
+        raise DialError.from_errno(DialFailure.LOCAL, error.errno or 0) from error
     code = sock.connect_ex(address)
     if code in CONNECTING:
         return sock
