--- a/gingerworks/gateway/__init__.py
+++ b/gingerworks/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: the decision module on sockets, one process and one event loop."""
+"""The real gateway: the policy on sockets, one process and one event loop."""
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -170,7 +170,7 @@
 
         def submit_and_cancel(*arguments: Any) -> int:
             number: int = submit(*arguments)
-            gw.runtime.cancel_request(number)  # the decision module gets both events in one turn
+            gw.runtime.cancel_request(number)  # the policy gets both events in one turn
             return number
 
         monkeypatch.setattr(gw.runtime, "submit", submit_and_cancel)
