--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -29,19 +29,21 @@
     describe_error,
 )
 
-# Idle connections are closed after this share of the time after which a server closes them at the latest.
+# The gateway closes idle connections after this share of the time after which servers close them at the
+# latest.
 IDLE_TIMEOUT_SHARE = 0.4
 MAX_BODY_BYTES = 64 * 1024
-MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # with the head and the framing
-ANSWER_STALL_S = 0.25  # for the rest of an answer that has begun: servers write an answer in one go
-MAX_INTERIM_ANSWERS = 16  # with a 1xx status, ahead of the final answer
+MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # the size of an answer with its head and its framing
+# An answer that has begun must be complete within this time: servers write an answer in one go.
+ANSWER_STALL_S = 0.25
+MAX_INTERIM_ANSWERS = 16  # answers with a 1xx status that may come before the final answer
 # A server may send a stray second answer some milliseconds after the first one.  A connection is reused only
 # after this time, so that such an answer is seen and not taken for the answer to the next request.
 MIN_IDLE_BEFORE_REUSE_NS = 20 * clock.NS_PER_MS
 MAX_LOAD_REPORT_BYTES = 1024
 HTTP_PREFIX, HTTP_VERSIONS = b"HTTP/", ("1.1", "1.0")
-FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # a client needs them to read the body
-FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without them the answer ends at the close
+ANSWER_HEADERS_FOR_CLIENT = (b"content-type", b"content-encoding")  # for the client to read the body
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without these an answer ends at the close
 
 log = logging.getLogger(__name__)
 
@@ -105,8 +107,8 @@
         self.attempt: Attempt | None = attempt
         self.socket: socket.socket | None = None
         self.idle_since_ns = 0
-        self.idle_before_ns: int | None = None  # before this attempt; none for the first one
-        self.unsent = b""  # rest of the request, not yet accepted by the kernel
+        self.idle_before_ns: int | None = None  # how long it was idle before this attempt; None for the first
+        self.unsent = b""  # the rest of the request, which the kernel has not accepted yet
         self.watching_writable = False
         self.answer = Answer()
         self.received_bytes = self.interim_answers = 0
@@ -166,7 +168,8 @@
             pass
         except OSError as error:
             # A failed send(2) accepts no byte, so the request is incomplete at the server and never ran.
-            # After a resource shortage, waiting until the socket is writable would be a busy loop: it is.
+            # After a resource shortage, waiting for the socket to be writable would be a busy loop, as it
+            # is writable all the time.
             return self.backends.end_attempt(self, self.backends.send_failure_status(error))
         if bool(self.unsent) != self.watching_writable:
             self.watching_writable = bool(self.unsent)
@@ -223,7 +226,7 @@
 
     def _end_if_complete(self) -> None:
         """End the attempt if its answer is complete or too long; otherwise limit the wait for the rest."""
-        if self.answer_complete:  # even if invalid data follows it
+        if self.answer_complete:  # even if invalid data follows the answer
             return self.backends.end_attempt(self, self.answer.attempt_status(), self.answer, self.keep_alive)
         if self.received_bytes > MAX_ANSWER_BYTES:
             return self._reject_answer("the answer is too long")
@@ -247,14 +250,16 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser's callback."""
-        # Here and in the callbacks below, data behind a complete answer must not change it.
+        # In each callback of the parser, data that follows a complete answer must not change that answer.
         if self.answer_complete:
             return
         name, value, answer = name.lower(), value.rstrip(number_parsing.OPTIONAL_WHITESPACE), self.answer
         self.framed = self.framed or name in FRAMING_HEADERS
         if name == b"content-length" and int(value) > MAX_BODY_BYTES:
-            raise InvalidAnswer(f"a body of {value.decode()} bytes is too long")  # without reading it
-        if name in FORWARDED_HEADERS:
+            raise InvalidAnswer(
+                f"a body of {value.decode()} bytes is too long"
+            )  # raised before the body comes
+        if name in ANSWER_HEADERS_FOR_CLIENT:
             answer.headers.append((name, value))
         elif name == b"x-unprocessed":
             answer.unprocessed = value == b"1"
@@ -284,7 +289,7 @@
         self.answer.status = self.parser.get_status_code()
         if self.answer.status >= 200:
             self.answer_complete = True
-            # This must be read here: after the callback the parser has reset its state and returns false.
+            # The parser is asked here, as it resets its state after this callback and would return false.
             self.keep_alive = self.parser.should_keep_alive()
         else:
             self.answer = Answer()
@@ -314,13 +319,13 @@
         self._open: set[Connection] = set()
         self._idle_timer: asyncio.TimerHandle | None = None
         self._idle_limit = IdleLimitEstimator()
-        self._logged_shortage = ""  # the last one logged; empty again once a connection is being opened
+        self._logged_shortage = ""  # the shortage logged last; empty again once a connection opens
 
     def update_servers(self, change: Change) -> None:
         """Apply a full list or a change of it, and close idle connections to processes that have ended."""
         if change.full:
-            listed = {endpoint.server.name for endpoint in change.endpoints}
-            for name in self._endpoints.keys() - listed:
+            listed_names = {endpoint.server.name for endpoint in change.endpoints}
+            for name in self._endpoints.keys() - listed_names:
                 del self._endpoints[name]
                 self.close_idle(name)
         for endpoint in change.endpoints:
@@ -359,8 +364,8 @@
         except DialError as error:
             return attempt.on_end(attempt, self.connect_failure_status(attempt.server, error), None)
         attempt.connection, connection.attempt = connection, attempt
-        left = (attempt.expires_at_ns - clock.now()) / clock.NS_PER_S
-        attempt.timer = self.loop.call_later(max(0.0, left), self._on_timeout, attempt)
+        time_left_s = (attempt.expires_at_ns - clock.now()) / clock.NS_PER_S
+        attempt.timer = self.loop.call_later(max(0.0, time_left_s), self._on_timeout, attempt)
         if connection.socket is not None:
             connection.send_request()
         return None
@@ -459,7 +464,7 @@
             self.end_attempt(
                 attempt.connection, interface.Status.DIAL_FAILED if never_ran else interface.Status.EXPIRED
             )
-            self.close_idle(attempt.server)  # if the machine has vanished, they are dead too
+            self.close_idle(attempt.server)  # if the server's machine is down, these connections are dead too
 
     def _take_idle(self, server: str) -> Connection | None:
         now = clock.now()
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -1,7 +1,7 @@
 """Requests of clients: their framing and size limits, their validation, and the head to forward to a server.
 
 ``Message`` collects one HTTP request while it is parsed.  ``RequestValidator`` translates it into a request
-of the decision module, after checking it against the settings and against the correlation ids of recent
+for the policy, after checking it against the settings and against the correlation ids of recent
 requests.  A request that fails a check raises ``RequestRejected`` with the HTTP status for the client.
 """
 
@@ -16,18 +16,20 @@
 MAX_BODY_BYTES = 64 * 1024
 MAX_REMEMBERED_IDS = 50_000  # bounds the memory: if more ids come in, the older half is forgotten early
 CUSTOMER_ID_LIMIT = 1 << 33
-MAX_TIME_LEFT_S = 3600.0  # a longer X-Time-Left counts as this
+MAX_TIME_LEFT_S = 3600.0  # a longer time in X-Time-Left counts as this one
 HTTP_VERSIONS = ("1.1", "1.0")
 
-# Header fields that the gateway sets itself or that concern this connection only.  All others are forwarded.
-NOT_FORWARDED = frozenset(
+# Header fields of a request that are not sent on to a server: the gateway sets them itself, or they concern
+# the client's connection only.
+REQUEST_HEADERS_NOT_FORWARDED = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
         b"upgrade", b"expect", b"content-length", b"x-time-left",
     )
 )  # fmt: skip
-# Header fields that may come once only: of two, the gateway and the server might read different ones.
-SINGLE_VALUED = frozenset(
+# Header fields that a request may have only once: with two of them, the gateway and the server might each
+# use a different one.
+SINGLE_VALUED_HEADERS = frozenset(
     (
         b"host", b"content-length", b"transfer-encoding", b"expect", b"x-correlation-id", b"x-service-class",
         b"x-contract", b"x-time-left", b"x-metering", b"x-repeat",
@@ -91,7 +93,7 @@
     def lowercase_headers(self) -> list[tuple[bytes, bytes]]:
         """The headers with lower-case names; rejects the request if a single-valued one is repeated."""
         headers = [(name.lower(), value) for name, value in self.headers]
-        single_valued = [name for name, _ in headers if name in SINGLE_VALUED]
+        single_valued = [name for name, _ in headers if name in SINGLE_VALUED_HEADERS]
         if len(single_valued) != len(set(single_valued)):
             raise RequestRejected(400, "a header that must not be doubled")
         return headers
@@ -100,7 +102,9 @@
         """The head for the server, without the time left and the empty line, which each attempt adds."""
         lines = [b"%b %b HTTP/1.1\r\n" % (self.method, self.target)]
         lines += [
-            b"%b: %b\r\n" % (name, value) for name, value in self.headers if name.lower() not in NOT_FORWARDED
+            b"%b: %b\r\n" % (name, value)
+            for name, value in self.headers
+            if name.lower() not in REQUEST_HEADERS_NOT_FORWARDED
         ]
         if self.body or self.method == b"POST":
             lines.append(b"Content-Length: %d\r\n" % len(self.body))
@@ -184,8 +188,9 @@
             now - self._rotated_at_ns >= self._id_lifetime_ns
             or len(self._recent_ids) >= MAX_REMEMBERED_IDS // 2
         ):
-            # Two sets bound the memory and the time: each takes new ids for one lifetime, or until it is
-            # full, and is then kept as the older one until the next rotation.
-            older = self._recent_ids if now - self._rotated_at_ns < 2 * self._id_lifetime_ns else set()
-            self._recent_ids, self._older_ids, self._rotated_at_ns = set(), older, now
+            # The ids are kept in two sets, which bounds the memory and the time for which an id is kept.
+            # New ids go to one set for one lifetime, or until it is full; it is then kept as the set of
+            # older ids until the next rotation.
+            older_ids = self._recent_ids if now - self._rotated_at_ns < 2 * self._id_lifetime_ns else set()
+            self._recent_ids, self._older_ids, self._rotated_at_ns = set(), older_ids, now
         self._recent_ids.add(correlation_id)
