--- a/gingerworks/gateway/client_table.py
+++ b/gingerworks/gateway/client_table.py
@@ -13,8 +13,9 @@
 from gingerworks.gateway import clock
 from gingerworks.gateway.client import ClientConnection
 
-EVICTIONS_PER_ROUND = 8  # closed by one call of ``make_room``
-# Before eviction: for a new client to send its request, or for one with its last answer to read it.
+EVICTIONS_PER_ROUND = 8  # the most connections that one call of ``make_room`` closes
+# Before it may be evicted, a new client has this long to send its request, and a client to which the last
+# answer was written has this long to read it.
 EVICTION_GRACE_NS = 50 * clock.NS_PER_MS
 
 
@@ -24,10 +25,10 @@
     def __init__(self, budget: int) -> None:
         self.budget = budget
         self.open: set[ClientConnection] = set()
-        self.new: dict[ClientConnection, None] = {}  # no request was handled on them yet
-        self.idle: dict[ClientConnection, None] = {}  # between requests
-        self.closing: dict[ClientConnection, None] = {}  # their last answer is written
-        self.evicted: set[ClientConnection] = set()  # closed to make room, and not yet ended
+        self.new: dict[ClientConnection, None] = {}  # connections on which no request was handled yet
+        self.idle: dict[ClientConnection, None] = {}  # connections between requests
+        self.closing: dict[ClientConnection, None] = {}  # connections whose last answer is written
+        self.evicted: set[ClientConnection] = set()  # connections closed to make room that have not ended yet
 
     @property
     def full(self) -> bool:
@@ -78,29 +79,32 @@
         3. idle ones, whose clients have sent requests before and may do so again;
         4. those with an incomplete request, after the time of grace.
 
-        So hundreds of clients that connect and send nothing, or don't close after a rejection, can't keep out
-        those that send requests.  While silent new connections fill more than half of the table, the idle
-        ones are spared and the grace of the new ones is waited for.  With fewer that would not be right: each
-        new one would delay all clients in the backlog by its grace.
+        So hundreds of clients that connect and send nothing, or don't close after a rejection, can't keep
+        out those that send requests.  While silent new connections fill more than half of the table, the
+        idle ones are spared, and room is made only once the new ones' time of grace is over.  With fewer
+        silent ones that would be wrong: each would delay all clients in the backlog by its time of grace.
         """
         if self.evicted:
-            return  # their end will make room
-        grace_over = clock.now() - EVICTION_GRACE_NS
-        if self._evict(client for client in self.closing if client.state_since_ns <= grace_over):
+            return  # the end of connections evicted before will make room
+        # The time of grace is over for connections that have been in their state since then or longer.
+        grace_began_by_ns = clock.now() - EVICTION_GRACE_NS
+        if self._evict(client for client in self.closing if client.state_since_ns <= grace_began_by_ns):
             return
         silent = [client for client in self.new if not client.receiving]
-        if self._evict(client for client in silent if client.state_since_ns <= grace_over):
+        if self._evict(client for client in silent if client.state_since_ns <= grace_began_by_ns):
             return
         if 2 * len(silent) > self.budget or self._evict(client for client in self.idle if client.is_idle()):
             return
         self._evict(
             client
             for client in [*self.new, *self.idle]
-            if client.receiving and not client.has_unsent_output() and client.state_since_ns <= grace_over
+            if client.receiving
+            and not client.has_unsent_output()
+            and client.state_since_ns <= grace_began_by_ns
         )
 
     def _evict(self, candidates: Iterable[ClientConnection]) -> bool:
-        """Close up to ``EVICTIONS_PER_ROUND`` of these; returns whether there was one.
+        """Close up to ``EVICTIONS_PER_ROUND`` of the candidates; returns whether any was closed.
 
         Those with unread input are spared, as it may be a request.  So are those without a transport yet:
         they can't be closed, and no other would be evicted as long as ``evicted`` holds one that doesn't end.
--- a/gingerworks/gateway/clock_check.py
+++ b/gingerworks/gateway/clock_check.py
@@ -1,9 +1,10 @@
 """Checks this machine's wall clock against the start times of servers that discovery states.
 
 The names of shared counts contain the time.  A gateway whose wall clock was stepped before it started would
-use other counts than its peers and grant customers their quotas a second time.  Each server that is seen to
-become new states when it started; if that is far from the moment at which the gateway learned of it, in
-two lists in a row, the clock is taken to be wrong, until a list shows a plausible time again.
+use other counts than its peers and grant customers their quotas a second time.  For each server that starts
+while the gateway runs, discovery states when it started.  If that is far from the moment at which the
+gateway learned of it, in two lists in a row, the clock is taken to be wrong, until a list shows a plausible
+time again.
 """
 
 from __future__ import annotations
@@ -13,11 +14,13 @@
 
 from gingerworks.gateway import clock
 
-# A start that is reported later than this shows a wrong clock.  Servers that take a minute to be listed, and
-# lists that catch up after an outage of discovery, stay below it.
+# A server's start that is reported later than this after its stated time shows a wrong clock.  The delay
+# stays shorter for servers that take a minute to be listed and for lists that catch up after an outage of
+# discovery.
 MAX_REPORT_DELAY_NS = 900 * clock.NS_PER_S
-MAX_CLOCK_DIFFERENCE_NS = clock.NS_PER_S  # more than the synchronized clocks of two machines differ
-# In a row: a single list may come after an outage of discovery, or name a server whose own clock is wrong.
+MAX_CLOCK_DIFFERENCE_NS = clock.NS_PER_S  # synchronized clocks of two machines differ by less
+# So many lists in a row must state implausible start times before the clock is taken to be wrong: a single
+# list may come after an outage of discovery, or name a server whose own clock is wrong.
 IMPLAUSIBLE_LISTS_NEEDED = 2
 
 log = logging.getLogger(__name__)
@@ -27,7 +30,7 @@
     """Compares the stated times of starts with the moments at which the gateway learned of them."""
 
     def __init__(self) -> None:
-        self._implausible_lists = 0  # in a row
+        self._implausible_lists = 0  # how many lists in a row stated only implausible start times
 
     @property
     def is_plausible(self) -> bool:
--- a/gingerworks/gateway/server_starts.py
+++ b/gingerworks/gateway/server_starts.py
@@ -1,10 +1,10 @@
 """When each server started, on this gateway's own clock.
 
 Discovery states start times as wall-clock times, in ``since_ms``.  If this machine's wall clock was stepped
-before the gateway started, they are wrong by that step: with a clock that is ahead, a cold server looks warm.
-So a server that was seen to become new counts as started at the moment when this gateway learned of it,
-whatever ``since_ms`` says; that is never too early.  For the servers of the first list, nothing better than
-``since_ms`` is known.
+before the gateway started, they are wrong by that step: with a clock that is ahead, a cold server looks
+warm.  So a server whose start is new in a later list than the first counts as started at the moment when this
+gateway learned of it, whatever ``since_ms`` says; that is never too early.  For the servers of the first
+list, nothing better than ``since_ms`` is known.
 """
 
 from __future__ import annotations
@@ -31,15 +31,16 @@
 
     def __init__(self) -> None:
         self._listed: dict[str, Start] = {}
-        self._unlisted: dict[str, Start] = {}  # no longer listed; they may return without a new start
-        self._discovery_answered = False  # what differs in later lists has changed since then
-        self._new_stated_ns: list[int] = []  # new starts in the list being processed, as stated
+        self._unlisted: dict[str, Start] = {}  # servers that left the list; they may return without a restart
+        self._discovery_answered = False  # if so, new starts happened while this gateway ran
+        self._new_stated_ns: list[int] = []  # stated times of the starts that are new in the current list
         self.clock_check = ClockCheck()
 
     def correct_start_times(self, change: Change, cached: bool) -> Change:
         """Return the same change with start times on this gateway's clock.
 
-        ``cached``: the list is the one from the configuration, so what differs from it later may be old.
+        ``cached`` says that the list is the one in the configuration.  It may be old, so a start that is
+        new in discovery's first list may have happened before this gateway ran.
         """
         now = clock.now()
         self._new_stated_ns = []
