--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -30,11 +30,12 @@
 HEALTH_PATH = b"/_health"
 BACKLOG = 4096
 READ_BUFFER_BYTES = 16 * 1024  # the most that one read takes from one client
-MAX_HELD_BODY_BYTES = 8 << 20  # of request bodies in memory, over all clients
-ACCEPTS_PER_TURN = 64  # of the event loop
-ACCEPT_PAUSE_S = 0.02  # before the next accept while there is no room, or after an error
-TIMEOUT_CHECK_INTERVAL_S = 0.2  # between checks of all clients' timeouts
-INCOMPLETE_REQUEST_WAIT_S = 0.5  # during shutdown: for clients to complete a request that they have begun
+MAX_HELD_BODY_BYTES = 8 << 20  # the most that the request bodies of all clients may take in memory
+ACCEPTS_PER_TURN = 64  # the most connections accepted in one turn of the event loop
+ACCEPT_PAUSE_S = 0.02  # how long accepting pauses when there is no room, or after an error
+TIMEOUT_CHECK_INTERVAL_S = 0.2  # how often the timeouts of all clients are checked
+# During a shutdown, clients have this long to complete a request that they have begun.
+INCOMPLETE_REQUEST_WAIT_S = 0.5
 
 log = logging.getLogger(__name__)
 
@@ -55,11 +56,11 @@
         self._held_body_bytes = 0
         self.clients = ClientTable(budget)
         self._timeout_check: asyncio.TimerHandle | None = None  # set while a connection is open
-        self._attaching: set[asyncio.Task[Any]] = set()  # kept from garbage collection
+        self._attaching: set[asyncio.Task[Any]] = set()  # keeps these tasks from garbage collection
         self._listener: socket.socket | None = None
         self._listener_watched = False
         self.backlog_empty_at_ns = clock.now()  # data of a newly accepted connection came after this time
-        self._last_accept_errno = 0  # the one logged last; 0 again after a successful accept
+        self._last_accept_errno = 0  # the error logged last; 0 again after a successful accept
         self._shutdown = GracefulShutdown(settings.classes)
         self._reject_incomplete_timer: asyncio.TimerHandle | None = None
 
@@ -78,7 +79,7 @@
 
     @property
     def address(self) -> Address:
-        """The address that it listens on, with the port that the kernel chose for port 0."""
+        """The address that the gateway listens on, with the port that the kernel chose for port 0."""
         assert self._listener is not None
         host, port = self._listener.getsockname()[:2]
         return host, port
@@ -100,9 +101,9 @@
             self.loop.remove_reader(self._listener.fileno())
 
     def _listener_readable(self) -> None:
-        began_at = clock.now()
+        accept_began_at_ns = clock.now()
         if self._accept_batch():
-            self.backlog_empty_at_ns = began_at
+            self.backlog_empty_at_ns = accept_began_at_ns
 
     def _accept_batch(self) -> bool:
         """Accept up to ``ACCEPTS_PER_TURN`` connections; returns whether the backlog is empty."""
@@ -117,7 +118,7 @@
                 return True
             except OSError as error:
                 if error.errno in CONNECTION_NOT_ACCEPTED:
-                    continue  # only that connection is gone; others may wait behind it
+                    continue  # only this connection has failed; others may wait in the backlog
                 return self._accept_failed(error.errno or 0)
             self._last_accept_errno = 0
             self._add_client(sock)
@@ -126,7 +127,8 @@
     def _accept_failed(self, code: int) -> bool:
         """Pause accepting after an error of the listener; returns whether the backlog is empty.
 
-        Clients are closed only for a shortage of descriptors or memory; it would help with no other error.
+        Clients are closed only for a shortage of descriptors or memory: closing them helps with no other
+        error.
         """
         self._log_accept_error(code)
         if code in RESOURCE_SHORTAGE:
@@ -149,7 +151,7 @@
         try:
             return bool(poller.poll(0))
         except OSError:
-            return True  # unknown for the moment: assume that one waits
+            return True  # unknown for the moment: assume that a connection waits
 
     def _add_client(self, sock: socket.socket) -> None:
         _prepare(sock)
@@ -174,7 +176,7 @@
         task.add_done_callback(done)
 
     def _wait_for_room(self) -> bool:
-        """Make room and pause accepting; False, as the backlog may hold connections."""
+        """Make room and pause accepting; returns False, as the backlog may hold connections."""
         self.clients.make_room()
         self._pause_accepting()
         return False
@@ -263,8 +265,8 @@
             self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
             return
         if not self._accept_batch():
-            # Closing now would reset the connections that are still in the backlog, as the table is full or
-            # one turn accepts only so many.
+            # The backlog still holds connections, as the table is full or one turn accepts only so many.
+            # Closing the listener now would reset them.
             self.loop.call_later(ACCEPT_PAUSE_S, self._close_listener)
             return
         self._stop_listening()
@@ -325,9 +327,9 @@
 def _prepare(sock: socket.socket) -> None:
     """Set an accepted socket's options; go on without them if that fails.
 
-    A request that is in the socket already can be answered without either.  The event loop makes the socket
-    non-blocking itself as it attaches the connection.  Without TCP_NODELAY a small answer may wait for the
-    client's acknowledgement of the one before.
+    A request that is in the socket already can be answered without these options.  The event loop makes the
+    socket non-blocking itself as it attaches the connection.  Without TCP_NODELAY a small answer may wait
+    for the client's acknowledgement of the one before.
     """
     try:
         sock.setblocking(False)
--- a/gingerworks/gateway/shutdown.py
+++ b/gingerworks/gateway/shutdown.py
@@ -14,14 +14,14 @@
 from gingerworks import interface
 from gingerworks.gateway import clock
 
-# SIGKILL comes no sooner after SIGTERM than the longest deadline of the classes plus KILL_DELAY_NS.  Of that
-# deadline the supervisor counts at most MAX_COUNTED_DEADLINE_NS.
+# The supervisor sends SIGKILL no sooner after SIGTERM than the longest deadline of the request classes, of
+# which it counts at most MAX_COUNTED_DEADLINE_NS, plus KILL_DELAY_NS.
 MAX_COUNTED_DEADLINE_NS = 3 * clock.NS_PER_S
 KILL_DELAY_NS = 700 * clock.NS_PER_MS
-STALL_ALLOWANCE_NS = 150 * clock.NS_PER_MS  # a busy machine may delay the write of an answer by so much
-EXIT_MARGIN_NS = 100 * clock.NS_PER_MS  # before SIGKILL: for the process to exit and its sockets to close
-QUIET_PERIOD_NS = 600 * clock.NS_PER_MS  # with no new connection in this time, no more are expected
-MAX_ACCEPT_NS = 2 * clock.NS_PER_S  # new connections are accepted for at most so long after SIGTERM
+STALL_ALLOWANCE_NS = 150 * clock.NS_PER_MS  # a busy machine may delay the write of an answer by this much
+EXIT_MARGIN_NS = 100 * clock.NS_PER_MS  # the time to exit and close all sockets before SIGKILL comes
+QUIET_PERIOD_NS = 600 * clock.NS_PER_MS  # after this long without a new connection, no more are expected
+MAX_ACCEPT_NS = 2 * clock.NS_PER_S  # the longest that new connections are accepted after SIGTERM
 
 
 class ShutdownPhase(Enum):
