--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -26,10 +26,12 @@
 from gingerworks.gateway.frontend import Frontend
 from gingerworks.gateway.runtime import Runtime
 
-# For the standard streams, the event loop, the listener, discovery and the counter, and some to spare.
+# Sockets set aside for the standard streams, the event loop, the listener, discovery and the counter, with
+# some to spare.
 RESERVED_SOCKETS = 48
-CLIENT_SOCKET_SHARE = 0.55  # clients' share of the other sockets; servers get the rest
-# The only wait of a start, for discovery's first answer: its time-out to connect, and as long again.
+CLIENT_SOCKET_SHARE = 0.55  # of the sockets not reserved, the share for clients; servers get the rest
+# A gateway that starts waits at most this long for discovery's first answer, and for nothing else: the
+# time-out to connect to discovery, and as long again.
 FIRST_LIST_TIMEOUT_S = 1.0
 
 log = logging.getLogger("gateway")
@@ -76,7 +78,7 @@
 
     def _start_watch(self, discovery: Address, index: int) -> Watch:
         if self._watch_task is not None:
-            self._watch_task.cancel()  # closes its connection as it ends
+            self._watch_task.cancel()  # the task closes its connection as it ends
         gateways = self._config.settings.gateways
         watch = Watch(discovery, index, self._config.seed, self.runtime.update_servers, gateways)
         self._watch_task = self._loop.create_task(watch.run())
@@ -95,7 +97,7 @@
         former, self._config = self._config, config
         log.info("configuration reread: discovery %s:%d, counter %s", *config.discovery, config.counter)
         if config.discovery != former.discovery:
-            # The versions of another discovery differ: request the whole list.
+            # Another discovery numbers the versions of its list differently: request the whole list.
             self._start_watch(config.discovery, 0)
         if config.counter != former.counter:
             self.runtime.use_counter(config.counter)
@@ -120,7 +122,7 @@
     gateway.start()
     # A SIGHUP that came since the start of ``main`` is handled now.
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    loop.call_soon(_freeze_startup_objects)  # while discovery answers, which is waited for anyway
+    loop.call_soon(_freeze_startup_objects)  # takes no extra time, as discovery is waited for
     await gateway.wait_and_close()
 
 
--- a/gingerworks/gateway/config.py
+++ b/gingerworks/gateway/config.py
@@ -15,7 +15,7 @@
 
 Address = tuple[str, int]
 
-DEFAULT_SOCKETS = 1024  # for all connections of the process, if the file sets no limit
+DEFAULT_SOCKETS = 1024  # the limit on the process's open connections, if the file sets none
 
 
 class ConfigError(ValueError):
@@ -48,7 +48,8 @@
 def load(environment: Mapping[str, str], is_reload: bool = False) -> Config:
     """Read the file that NODE_CONFIG names; the other variables override what it says.
 
-    On a reload the file's address of discovery goes before the variable, which is as old as the process.
+    On a reload the file's address of discovery overrides the variable ``NODE_DISCOVERY``, which can't change
+    while the process runs.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -17,7 +17,8 @@
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
-# After EINTR the connection is still established in the background (connect(2)).
+# The results of connect(2) after which a connection is being established; after EINTR that goes on in the
+# background.
 CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)
 
 
@@ -67,7 +68,7 @@
         self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
-        """Give up; no callback is called any more."""
+        """Stop connecting; no callback is called any more."""
         self._stop()
         self._socket.close()
 
--- a/gingerworks/gateway/idle_limit.py
+++ b/gingerworks/gateway/idle_limit.py
@@ -13,13 +13,14 @@
 
 from gingerworks.gateway import clock
 
-# A connection that ends so soon after the request was sent had been dropped at the other end before.
+# A connection that ends within this time after a request was sent on it had been dropped at the other end
+# before.
 IMMEDIATE_RESET_NS = 10 * clock.NS_PER_MS
 MIN_RECORDED_IDLE_NS = 50 * clock.NS_PER_MS  # resets after a shorter idle time have other causes
-GAIN = 0.25  # weight of a new result in the moving average
-MAX_RESET_RATE = 0.2  # low, as a new connection costs little and a lost request much
+GAIN = 0.25  # weight of a new result in the moving average of the reset rate
+MAX_RESET_RATE = 0.2  # low, as a new connection costs little and a lost request costs much
 DECAY_NS = 30 * clock.NS_PER_S  # old results fade with this time constant
-BUCKETS = 24  # of idle times: up to 1 ms, then each twice as long as the one before
+BUCKETS = 24  # ranges of idle times: the first is up to 1 ms, each further one ends at twice the time
 
 
 class IdleLimitEstimator:
@@ -48,8 +49,8 @@
     def _fade(self) -> None:
         now = clock.now()
         if any(self._reset_rates):
-            kept = math.exp((self._faded_at_ns - now) / DECAY_NS)
-            self._reset_rates = [rate * kept for rate in self._reset_rates]
+            remaining_share = math.exp((self._faded_at_ns - now) / DECAY_NS)
+            self._reset_rates = [rate * remaining_share for rate in self._reset_rates]
         self._faded_at_ns = now
 
 
