--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -7,10 +7,12 @@
 
 - Between readings a gateway may use its share of the rate: the even share, which is the rate divided by the
   customer's number of gateways, and whatever the other gateways seem to leave unused.
-- Requests that the share does not cover can be held for a reading, which books them in the count if they fit.
-- A count that cannot be right is repaired: a gateway adds the difference, which may be below 0.
+- Requests that the share does not cover can be held for a reading of the shared count; those that the store
+  covers are booked in the count.
+- A shared count that cannot be right is corrected: a gateway adds the difference, which may be below 0.
 - A plan may also have a ceiling on all use, within the quota and beyond it.  It is divided into a reserve,
-  for requests that readings admit, and an even part for each gateway, which needs no reading.
+  for requests that readings admit, and an even part for each gateway, from which the gateway may admit
+  requests without a reading.
 
 Amounts are in units of use, rates in units a second, times in nanoseconds.  ``docs/design.md`` describes the
 rules.
@@ -30,19 +32,33 @@
 from gingerworks.policy.in_flight import InFlightRequest
 from gingerworks.policy.speculative_admission import BUSY_DEMAND, Headroom, PassRate, headroom_of
 
-TOLERATED_SURPLUS = 0.25  # of the burst: refill beyond a full store up to which a count is not repaired
-TOLERATED_OVERUSE = 0.5  # of the burst: use beyond an empty store up to which a count is not repaired
-# In longest waits for an answer: by then a repair, and the undoing of duplicates of it, has been read.
-REPAIR_SETTLE_WAITS = 4
-TRUST_PERIODS = 3.0  # readings older than so many report periods count for less and less
-CEILING_SLACK_USED = 0.5  # of the ceiling's slack; the rest is for errors that this module does not foresee
-# Each gateway's part of a ceiling holds so many requests of the largest size before the reserve exceeds
-# MIN_RESERVED.
-MIN_PART_REQUESTS = 1.5
-MIN_RESERVED = 0.5  # of the quota: the least reserve, in a ceiling that is large enough for it
-CEILING_TOLERATED_SURPLUS = 0.1  # of the burst: like TOLERATED_SURPLUS, set aside within the ceiling
-SHARE_ADVANCE = 0.5  # of a request admitted without a reading: what may be missing from the share for it
-BOOK_AHEAD_CHANCE = 0.5  # of passing: from this on, the call that reads for a request books its units already
+# A shared count is corrected if it shows more refill beyond a full store than this fraction of the burst.
+TOLERATED_SURPLUS = 0.25
+# A shared count is corrected if it shows more use beyond an empty store than this fraction of the burst.
+TOLERATED_OVERUSE = 0.5
+# After so many times the longest wait for an answer of the counter, a gateway has read the shared count with
+# any correction that was made to it, and without the duplicates of that correction by other gateways.
+CORRECTION_SETTLE_WAITS = 4
+READING_TRUST_PERIODS = (
+    3.0  # a reading of the shared count is trusted less and less after so many report periods
+)
+# A gateway's part of a ceiling uses this fraction of the ceiling's slack, which is the use beyond the ceiling
+# that is tolerated; the rest of the slack is for errors that this module does not foresee.
+CEILING_SLACK_USED = 0.5
+# Each gateway's part of a ceiling holds at least so many requests of the largest size, unless a ceiling's
+# reserve of MIN_RESERVED_FRACTION leaves less.
+MIN_CEILING_PART_REQUESTS = 1.5
+MIN_RESERVED_FRACTION = (
+    0.5  # the least reserve of a ceiling that is large enough for it, as a fraction of the quota
+)
+# Fraction of the burst that is set aside within a ceiling, because a shared count that shows no more refill
+# than this beyond a full store is not corrected.
+CEILING_TOLERATED_SURPLUS = 0.1
+# Fraction of a request's units that a gateway's share may lack when it admits the request without a reading.
+MAX_MISSING_SHARE = 0.5
+# The call that takes a reading for a request also books the request's units in the shared count if the
+# reading is expected to admit the request with at least this probability.
+BOOK_AHEAD_CHANCE = 0.5
 
 
 class CustomerContext(Protocol):
@@ -67,19 +83,23 @@
         self.key = f"{request.customer} {request.plan}"
         self.plan = plan = context.plans[request.plan]
         digest = hashlib.blake2b(request.customer.encode(), digest_size=8).digest()
-        # Spreads the times at which the customers' counts change their names.
+        # Spreads the times at which the names of the customers' shared counts change.
         self.epoch_offset_ns = int.from_bytes(digest, "big") % COUNT_TTL_NS
         cap = max(plan.burst, settings.max_units)
-        # A customer that is seen for the first time certainly has its even share; the first reading shows
-        # what else is left.
+        # A customer that is seen for the first time may certainly use its even share of the burst; the first
+        # reading of the shared count shows what else is left.
         self.even_burst = cap / entries
         initial = self.even_burst if settings.has_counter else max(self.even_burst, settings.max_units)
-        # Estimate of what the store holds, refilled by this gateway's share; a reading sets it anew.
+        # Estimate of the units that the quota's store holds, refilled at this gateway's share of the rate.
+        # Each reading of the shared count replaces it.
         self.allowance = GapCounter(cap, initial, context.rng.random())
-        self.ceiling_allowance: GapCounter | None = None  # this gateway's part of the ceiling
-        # Readings admit requests beyond the parts only while the store lacks no more than the reserve.  The
-        # reserve is as large as the quota if the rest of the ceiling leaves the parts large enough.  Surplus
-        # refill that the count may show is set aside in addition.
+        self.ceiling_allowance: GapCounter | None = (
+            None  # this gateway's part of the ceiling, if the plan has one
+        )
+        # Readings admit requests beyond the gateways' parts of the ceiling only while the quota's store lacks
+        # no more than the ceiling's reserve.  The reserve is as large as the quota if the rest of the ceiling
+        # is large enough for the parts.  Refill beyond a full store that the shared count may show is set
+        # aside in addition.
         burst, rate, self.tolerated_surplus, self.reserved_units = (
             plan.ceiling_burst,
             plan.ceiling_rate,
@@ -87,49 +107,57 @@
             0.0,
         )
         reservable = (
-            burst - CEILING_TOLERATED_SURPLUS * plan.burst - MIN_PART_REQUESTS * settings.max_units * entries
+            burst
+            - CEILING_TOLERATED_SURPLUS * plan.burst
+            - MIN_CEILING_PART_REQUESTS * settings.max_units * entries
         )
-        reserved = min(1.0, max(MIN_RESERVED, reservable / max(plan.burst, EPSILON)))
+        reserved = min(1.0, max(MIN_RESERVED_FRACTION, reservable / max(plan.burst, EPSILON)))
         rest = burst - (reserved + CEILING_TOLERATED_SURPLUS) * plan.burst, rate - reserved * plan.rate
         if settings.has_counter and plan.rate > 0 < min(rest):
             (burst, rate), self.reserved_units = rest, reserved * plan.burst
             self.tolerated_surplus = (
                 CEILING_TOLERATED_SURPLUS * plan.burst + (1 - CEILING_SLACK_USED) * plan.ceiling_slack
             )
-        self.repair_settle_ns = REPAIR_SETTLE_WAITS * settings.counter_wait_ns
-        self.may_use_reserve = False  # by the last reading
+        self.correction_settle_ns = CORRECTION_SETTLE_WAITS * settings.counter_wait_ns
+        self.may_use_ceiling_reserve = False  # as the last reading of the shared count decided
         self.ceiling_even_rate = rate / entries
         if plan.ceiling_rate > 0:
-            # It starts empty: what this gateway admitted before a restart is not known.
+            # The part starts empty: what this gateway admitted before a restart is not known.
             self.ceiling_allowance = GapCounter(
                 (burst + CEILING_SLACK_USED * plan.ceiling_slack) / entries, 0.0, 0.0
             )
             self.ceiling_allowance.refill(self.ceiling_even_rate * (now - context.started_ns) / SECOND)
         self.even_rate = plan.rate / entries
-        # The share alone, whatever readings say, for requests that no reading is taken for.  A share that is
-        # smaller than a request is saved up over many requests.
+        # This gateway's share of the quota, which readings do not replace: it limits the requests that are
+        # admitted without one.  A share that is smaller than a request is saved up until it covers one.
         self.share_allowance = GapCounter(cap, self.even_burst, 0.0)
         self.others_rate = plan.rate - self.even_rate  # estimated use at all other gateways
-        self.deficit = -math.inf  # of the store at the last reading; not known before the first one
-        # Use to be added to the shared count; below 0, units added earlier that have to be taken back.
-        self.unreported = self.repair_due = 0.0
-        self.deficit_before_repair = 0.0  # of the count, when the repair was found to be due
-        self.repaired_at_ns = -math.inf
-        self.overuse_since_ns: int | None = None  # more than the tolerated overuse has been read since then
+        self.deficit = -math.inf  # units that the store lacked at the last reading; -inf: none has been taken
+        # To be added to the shared count: unreported use, which is below 0 if units added before have to be
+        # taken back, and the amount that corrects the count.
+        self.unreported = self.count_correction_due = 0.0
+        self.deficit_before_correction = 0.0  # shown by the count when a correction was found to be due
+        self.count_corrected_at_ns = -math.inf
+        self.overuse_since_ns: int | None = (
+            None  # when readings began to show more than the tolerated overuse
+        )
         self.pass_rate = PassRate()
-        self.own_deficit = 0.0  # the least that the store lacks, from the use sent on by this gateway alone
+        self.own_deficit = (
+            0.0  # the least that the store lacks, by the use that this gateway alone has sent on
+        )
         self.own_deficit_at_ns = self.demand_at_ns = now
-        self.demand = 0.0  # units that were lately requested here, fading
+        self.demand = 0.0  # units requested at this gateway lately; earlier ones count for less
         self.refilled_at_ns = self.read_at_ns = self.last_request_at_ns = now
-        self.report_scheduled = self.exhausted = False  # exhausted: the last request read for did not fit
-        self.counter_answered = True  # the last call that ended
-        self.waiting: list[InFlightRequest[Customer]] = []  # for the next call
+        # Exhausted: the store did not cover the last request that a reading was taken for.
+        self.report_scheduled = self.exhausted = False
+        self.counter_answered = True  # whether the counter answered this customer's last call
+        self.waiting: list[InFlightRequest[Customer]] = []  # requests that the next call takes a reading for
         self.pending_call: CounterCall | None = None
 
     def share_rate(self, now: int) -> float:
-        """This gateway's share: the even one, and what the others leave as far as the reading is recent."""
-        stale = (now - self.read_at_ns) / REPORT_PERIOD_NS - TRUST_PERIODS
-        trust = 1.0 if stale <= 0 else math.exp(-stale / TRUST_PERIODS)
+        """This gateway's share of the rate: the even share and what others left by a recent reading."""
+        stale = (now - self.read_at_ns) / REPORT_PERIOD_NS - READING_TRUST_PERIODS
+        trust = 1.0 if stale <= 0 else math.exp(-stale / READING_TRUST_PERIODS)
         return self.even_rate + trust * max(0.0, self.plan.rate - self.others_rate - self.even_rate)
 
     def refill_allowances(self, now: int) -> None:
@@ -140,27 +168,27 @@
         self.share_allowance.refill(refill)
         if (
             not self.counter_answered
-            and now - self.read_at_ns > TRUST_PERIODS * REPORT_PERIOD_NS
+            and now - self.read_at_ns > READING_TRUST_PERIODS * REPORT_PERIOD_NS
             and self.unreported > 0
         ):
             # If all gateways reported the use of a whole outage of the counter at its end, the store would
-            # look exhausted.  What this gateway's share covered meanwhile is not reported: whoever reads the
-            # count first after the outage takes it for refilled.
+            # look exhausted.  So use that this gateway's share covered meanwhile is not reported: the store
+            # has been refilled by as much.
             self.unreported = max(0.0, self.unreported - refill)
         if self.ceiling_allowance is not None:
             self.ceiling_allowance.refill(self.ceiling_even_rate * seconds)
         self.refilled_at_ns = now
 
     def min_deficit(self, now: int) -> float:
-        """The least that the store lacks: its deficit at the last reading, less all refill since."""
+        """The least that the quota's store can lack: the deficit at the last reading less refill since."""
         return max(0.0, self.deficit - self.plan.rate * (now - self.read_at_ns) / SECOND)
 
     def min_own_deficit(self, now: int) -> float:
-        """The least that the store lacks, judged only by what this gateway has sent on."""
+        """The least that the quota's store can lack, judged only by the use that this gateway has sent on."""
         return max(0.0, self.own_deficit - self.plan.rate * (now - self.own_deficit_at_ns) / SECOND)
 
     def record_sent(self, units: float, now: int) -> None:
-        """Record use that was sent on; use beyond what the store can hold takes nothing from it."""
+        """Record units of a request sent to a server; units beyond a store's burst take nothing from it."""
         self.share_allowance.level = max(-self.even_burst, self.share_allowance.level - units)
         least = self.min_own_deficit(now)
         self.own_deficit = least + units if least + units <= self.allowance.cap + EPSILON else least
@@ -171,25 +199,25 @@
         return max(self.min_deficit(now), self.min_own_deficit(now)) + units > self.allowance.cap + EPSILON
 
     def record_demand(self, units: float, now: int) -> bool:
-        """Record a request; returns whether the customer was busy here within about the last full refill."""
+        """Record requested units; returns whether many were requested within about the last full refill."""
         fades = self.plan.rate * (now - self.demand_at_ns) / SECOND / self.allowance.cap
         before = self.demand * math.exp(-fades)
         self.demand, self.demand_at_ns = before + units, now
         return before >= BUSY_DEMAND * self.allowance.cap
 
     def headroom(self, units: float, busy: bool) -> Headroom:
-        """What is known of the store's headroom for a request that the share does not cover."""
+        """What is known of the units left in the store for a request that the share does not cover."""
         if self.deficit < 0:
             return Headroom.UNREAD_BUSY if busy else Headroom.UNREAD
         return headroom_of((self.allowance.level - units) / self.allowance.cap)
 
     def undo_booking(self, units: float) -> None:
-        """Undo what a reading booked for a request that was then refused for another reason."""
+        """Take back the units that a reading booked for a request that was refused for another reason."""
         self.unreported -= units
         self.deficit -= units
 
     def refill_wait_ns(self, units: float) -> int:
-        """How long until the quota covers a request, if nobody else uses it."""
+        """How long until the quota has refilled enough for these units, if no other request uses it."""
         return int(max(0.0, units - self.allowance.level) / max(self.plan.rate, EPSILON) * SECOND)
 
     def ceiling_part_covers(self, units: float) -> bool:
@@ -199,71 +227,75 @@
     def covers_without_reading(self, units: float) -> bool:
         """Whether to admit a request while the counter gives no answer.
 
-        For a request larger than the even share the allowance has to hold no more than that share, unless the
-        last reading found the store exhausted.
+        The allowance has to cover the request or, if that is smaller, the even share of the burst.  A request
+        larger than the even share is refused if the last reading found the store exhausted.
         """
         return self.allowance.covers(min(units, self.even_burst)) and not (
             self.exhausted and units > self.even_burst
         )
 
     def share_covers(self, units: float) -> bool:
-        """Whether the share covers a request, of which half, or the even share if less, may be missing."""
-        return self.share_allowance.covers(units - min(self.even_burst, units * SHARE_ADVANCE))
+        """Whether this gateway's share covers a request; half, or the even share if less, may be missing."""
+        return self.share_allowance.covers(units - min(self.even_burst, units * MAX_MISSING_SHARE))
 
     def count_name(self, now: int) -> tuple[int, int]:
         """The name of the shared count at this time, and when it began; the name changes after each TTL.
 
         The time is the one that the gateways have agreed on.  Their own clocks come from the wall clocks of
-        their machines, which may differ: then some gateways would use counts of other names, and grant the
-        reserve of the ceiling once more.
+        their machines, which may differ: then some gateways would use counts of other names, and grant
+        the reserve of the ceiling once more.
         """
         epoch, age = divmod(self.clock.agreed_time(now) + self.epoch_offset_ns, COUNT_TTL_NS)
         digest = hashlib.blake2b(f"{self.key} {epoch % EPOCHS_PER_LAP}".encode(), digest_size=8).digest()
         return int.from_bytes(digest, "big") >> 1, now - age  # the counter's names have 63 bits
 
-    def undo_duplicate_repair(self, call: CounterCall, deficit: float) -> float:
-        """Take back a repair that another gateway had made first; returns the amount, or 0 if there is none.
+    def undo_duplicate_correction(self, call: CounterCall, deficit: float) -> float:
+        """Take back this call's correction if another gateway made it first; returns the amount, or 0.
 
-        ``deficit`` is that of the count when the repair reached it.  Answers give the totals in the order in
-        which the calls reached the counter.  So of several gateways that repair the same fault, only the
-        first one finds the deficit as it was.
+        ``deficit`` is what the shared count showed before it got the correction.  Answers give the totals in
+        the order in which the calls reached the counter.  So of several gateways that correct
+        the same fault, only the first one finds the deficit as it was.
         """
-        repaired_part = (deficit - call.deficit_before_repair) / call.repair if call.repair else 0.0
-        if repaired_part <= 0.5:
+        corrected_part = (
+            (deficit - call.deficit_before_correction) / call.correction if call.correction else 0.0
+        )
+        if corrected_part <= 0.5:
             return 0.0
-        self.unreported -= call.repair
-        return call.repair
+        self.unreported -= call.correction
+        return call.correction
 
-    def needed_repair(self, deficit: float, now: int) -> float:
-        """What has to be added to a count with this deficit to make it right; 0 if nothing.
+    def count_correction_for(self, deficit: float, now: int) -> float:
+        """What has to be added to a shared count with this deficit to correct it; 0 if it may be right.
 
-        A count goes wrong in three ways: time goes on to count as refill although the store is full, a
-        counter that lost its counts makes the store look unused, and use beyond an empty store is added to
-        the count although it takes nothing from the store.
+        A count goes wrong in three ways: elapsed time counts as refill although the store is full, a counter
+        that lost its counts makes the store look unused, and use beyond an empty store is added to the count
+        although it takes nothing from the store.
         """
         least = self.min_deficit(now)
         if deficit <= (1 + TOLERATED_OVERUSE) * self.allowance.cap:
             self.overuse_since_ns = None
             return least - deficit if deficit < least - self.tolerated_surplus else 0.0
-        # Overuse is repaired only if it lasts: it may be the repairs that several gateways have made of one
-        # fault, and all but one of these are about to be undone.
+        # Use beyond an empty store is corrected only if it lasts: it may be the corrections that several
+        # gateways have made of one fault, and all but one of these are about to be undone.
         if self.overuse_since_ns is None:
             self.overuse_since_ns = now
-        return self.allowance.cap - deficit if now - self.overuse_since_ns >= self.repair_settle_ns else 0.0
+        return (
+            self.allowance.cap - deficit if now - self.overuse_since_ns >= self.correction_settle_ns else 0.0
+        )
 
     def apply_reading(
         self, call: CounterCall, total: float, now: int
     ) -> list[tuple[InFlightRequest[Customer], bool]]:
         """Learn the store's deficit from a total; returns whether it covers each of the requests held."""
         refilled = self.plan.rate * (now - call.count_began_ns) / SECOND
-        total -= self.undo_duplicate_repair(call, total - call.amount - refilled)
-        reported = max(0.0, call.reported)  # below 0 it corrects units that were added but never used
+        total -= self.undo_duplicate_correction(call, total - call.amount - refilled)
+        reported = max(0.0, call.reported)  # below 0, the call took back units that were never used
         # The deficit without the use that this call reported and booked.
-        deficit_before = total - (call.amount - call.reported - call.repair + reported) - refilled
-        unreported, repair = max(0.0, self.unreported), self.needed_repair(deficit_before, now)
-        self.repair_due, self.deficit_before_repair = repair, deficit_before
-        repaired = self.allowance.cap if self.overuse_since_ns is not None else deficit_before + repair
-        deficit = max(self.min_deficit(now), repaired) + reported
+        deficit_before = total - (call.amount - call.reported - call.correction + reported) - refilled
+        unreported, correction = max(0.0, self.unreported), self.count_correction_for(deficit_before, now)
+        self.count_correction_due, self.deficit_before_correction = correction, deficit_before
+        corrected = self.allowance.cap if self.overuse_since_ns is not None else deficit_before + correction
+        deficit = max(self.min_deficit(now), corrected) + reported
         seconds = max(EPSILON, (now - self.read_at_ns) / SECOND)
         elsewhere = min(
             self.plan.rate, max(0.0, self.plan.rate + (deficit - reported - self.deficit) / seconds)
@@ -280,50 +312,52 @@
             else:
                 self.unreported -= booked
             decisions.append((inflight, covered))
-        # The reserve may be used while the deficit is within it, or no larger than shortly before: then no
-        # more is admitted than the store refills.
+        # The ceiling's reserve may be used while the store's deficit is no larger than the reserve, or than
+        # the deficit shortly before: then no more is admitted than the store refills.
         recent_deficit = self.deficit if now - self.read_at_ns <= REPORT_PERIOD_NS else 0.0
         self.deficit, self.read_at_ns = deficit, now
         within_reserve = deficit <= max(self.reserved_units, recent_deficit) and self.reserved_units > 0
-        # Of a count that has to be repaired only the first reading counts: until the repair has been made,
-        # further ones say nothing of the store.
-        self.may_use_reserve = within_reserve and (
-            not repair or now - self.repaired_at_ns >= self.repair_settle_ns
+        # Of a shared count that has to be corrected only the first reading is used: until the correction has
+        # been made, further readings say nothing of the store.
+        self.may_use_ceiling_reserve = within_reserve and (
+            not correction or now - self.count_corrected_at_ns >= self.correction_settle_ns
         )
         # A gateway that may read another count than the others do keeps to its part of the ceiling.
-        self.may_use_reserve = self.may_use_reserve and call.clock_agreed
+        self.may_use_ceiling_reserve = self.may_use_ceiling_reserve and call.clock_agreed
         return decisions
 
     def discard_readings(self, now: int) -> None:
-        """Forget what was read, as the count was named by a time that was not that of the other gateways."""
+        """Forget all readings, as they were of a count named by another time than the other gateways use."""
         self.deficit, self.others_rate, self.read_at_ns = -math.inf, self.plan.rate - self.even_rate, now
-        self.repair_due, self.overuse_since_ns = 0.0, None
-        self.exhausted = self.may_use_reserve = False
+        self.count_correction_due, self.overuse_since_ns = 0.0, None
+        self.exhausted = self.may_use_ceiling_reserve = False
 
     def is_idle(self, now: int) -> bool:
-        """Whether no knowledge would be lost by forgetting this customer."""
+        """Whether nothing is known of this customer that would be lost by forgetting it."""
         full = self.ceiling_allowance is None or self.ceiling_allowance.level >= self.ceiling_allowance.cap
         quiet = now - self.last_request_at_ns >= (COUNT_TTL_NS if self.exhausted else SWEEP_PERIOD_NS)
         return full and quiet and self.pending_call is None and self.min_deficit(now) <= 0.0
 
 
 class CounterCall:
-    """A call to the shared counter: the use it reports, a repair, and the requests held for its answer.
+    """A call to the shared counter: the use it reports, a correction, and the requests held for its answer.
 
-    Each request is held with the units that the call books for it.  One that is more likely to be refused
-    than to pass books nothing before the reading has admitted it.
+    Each request is held with the units that the call books for it.  For a request that is more likely to be
+    refused than admitted the call books nothing; its units are booked once the reading has admitted it.
     """
 
-    def __init__(self, customer: Customer, count_began_ns: int, repair: float, agreed: bool = True) -> None:
-        """``agreed``: this gateway has evidence that the others name the count by the same time."""
+    def __init__(
+        self, customer: Customer, count_began_ns: int, correction: float, agreed: bool = True
+    ) -> None:
+        """``agreed``: this gateway has evidence that the other gateways name the count by the same time."""
         self.customer = customer
         self.clock_agreed = agreed
         self.clock_steps_at_start = customer.clock.clock_steps
         self.count_began_ns = count_began_ns
         self.reported = customer.unreported
-        self.repair, self.deficit_before_repair = repair, customer.deficit_before_repair
+        self.correction, self.deficit_before_correction = correction, customer.deficit_before_correction
         self.held = [(inflight, self._booked_units(inflight)) for inflight in customer.waiting]
-        self.amount = self.reported + self.repair + sum(booked for _, booked in self.held)
+        self.amount = self.reported + self.correction + sum(booked for _, booked in self.held)
 
     @staticmethod
     def _booked_units(inflight: InFlightRequest[Customer]) -> float:
@@ -332,5 +366,5 @@
 
     @property
     def books_later(self) -> bool:
-        """Whether the units of a request held are booked only after the reading has admitted it."""
+        """Whether the call holds a request whose units are booked only after the reading has admitted it."""
         return any(booked == 0.0 for _, booked in self.held)
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -196,7 +196,7 @@
         """Start the first attempt of a request, or refuse it; ``booked``: a reading has booked its units."""
         customer, units = inflight.customer, inflight.request.units
         backend = self.choose_backend(inflight)
-        booked = booked and customer.may_use_reserve
+        booked = booked and customer.may_use_ceiling_reserve
         if backend is None or not (booked or customer.ceiling_part_covers(units)):
             self.decline(inflight, 0)
             return False
@@ -230,7 +230,7 @@
         is_urgent = customer.unreported < 0 and self.quotas.read_fraction >= KEEPS_UP_FRACTION
         is_urgent = is_urgent or (customer.unreported > 0 and call.books_later)
         if customer.counter_answered:
-            self.actions += self.quotas.start_repair(customer, self.now)
+            self.actions += self.quotas.start_count_correction(customer, self.now)
         if customer.waiting or (customer.counter_answered and is_urgent):
             self._call_counter(customer)
         elif customer.unreported > 0 or (customer.counter_answered and customer.unreported < 0):
@@ -240,7 +240,7 @@
         """Admit or refuse a held request once the counter has answered or the call has failed."""
         customer, units = inflight.customer, inflight.request.units
         if customer.counter_answered:
-            passes = covered and (customer.may_use_reserve or customer.ceiling_part_covers(units))
+            passes = covered and (customer.may_use_ceiling_reserve or customer.ceiling_part_covers(units))
             self.quotas.learn(inflight, passes)
         if not covered:
             self.decline(inflight, customer.refill_wait_ns(units))
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -147,36 +147,36 @@
             return None
         return now + int(REPORT_PERIOD_NS / self.read_fraction * (0.75 + 0.5 * self.rng.random()))
 
-    def start_call(self, customer: Customer, now: int, repair: float = 0.0) -> list[interface.Count]:
-        """A call for this customer, unless one is in flight; ``repair`` is added to correct the count."""
+    def start_call(self, customer: Customer, now: int, correction: float = 0.0) -> list[interface.Count]:
+        """A call for this customer, unless one is in flight; ``correction`` is added to correct the count."""
         customer.report_scheduled = False
         # Use so long ago that the store has refilled since need not be reported.  Otherwise a counter that
         # refuses calls would be called again and again for ever more customers that were seen once.
         if (now - customer.last_request_at_ns) * customer.plan.rate > customer.allowance.cap * SECOND:
             customer.unreported = min(0.0, customer.unreported)
-        if customer.pending_call is not None or not (customer.waiting or customer.unreported or repair):
+        if customer.pending_call is not None or not (customer.waiting or customer.unreported or correction):
             return []
         name, began_ns = customer.count_name(now)
         call = customer.pending_call = self.calls[name] = CounterCall(
-            customer, began_ns, repair, self.clock.agrees(now)
+            customer, began_ns, correction, self.clock.agrees(now)
         )
         customer.unreported, customer.waiting = 0.0, []
         return [interface.Count(name, call.amount, COUNT_TTL_NS)]
 
-    def start_repair(self, customer: Customer, now: int) -> list[interface.Count]:
-        """Make the repair that the last reading found due, unless this gateway has made one just before.
+    def start_count_correction(self, customer: Customer, now: int) -> list[interface.Count]:
+        """Make the correction that the last reading found due, unless this gateway has made one just before.
 
-        Other gateways may find the same fault and repair it too; all but the first take theirs back, see
-        ``Customer.undo_duplicate_repair``.
+        Other gateways may find the same fault and correct it too; all but the first take theirs back, see
+        ``Customer.undo_duplicate_correction``.
         """
         if (
-            not customer.repair_due
+            not customer.count_correction_due
             or customer.pending_call
-            or now - customer.repaired_at_ns < customer.repair_settle_ns
+            or now - customer.count_corrected_at_ns < customer.correction_settle_ns
         ):
             return []
-        customer.repaired_at_ns = now
-        return self.start_call(customer, now, customer.repair_due)
+        customer.count_corrected_at_ns = now
+        return self.start_call(customer, now, customer.count_correction_due)
 
     def handle_answer(
         self, answer: interface.Counted, now: int
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -38,11 +38,11 @@
 
 
 def apply_deficit(
-    customer: Customer, deficit: float, now: int, reported: float = 0.0, repair: float = 0.0
+    customer: Customer, deficit: float, now: int, reported: float = 0.0, correction: float = 0.0
 ) -> None:
     """Let a call be answered by a count with this deficit, which includes what the call reported."""
     customer.unreported = reported
-    call = CounterCall(customer, customer.count_name(now)[1], repair)
+    call = CounterCall(customer, customer.count_name(now)[1], correction)
     customer.unreported = 0.0
     customer.refill_allowances(now)
     refilled = customer.plan.rate * (now - call.count_began_ns) / SECOND
@@ -166,57 +166,59 @@
     assert long_after == pytest.approx(2 / 3, abs=0.01)
 
 
-def test_lost_counts_are_repaired_by_a_gateway_that_has_read_them_before() -> None:
+def test_lost_counts_are_corrected_by_a_gateway_that_has_read_them_before() -> None:
     c = new_customer()
     apply_deficit(c, 7.0, SECOND)
     apply_deficit(c, 0.0, SECOND + 1)
-    assert c.repair_due == pytest.approx(7.0)
+    assert c.count_correction_due == pytest.approx(7.0)
     assert c.allowance.level == pytest.approx(1.0)
 
 
-def test_refill_beyond_a_full_store_is_repaired() -> None:
+def test_refill_beyond_a_full_store_is_corrected() -> None:
     c = new_customer()
     apply_deficit(c, -20.0, SECOND)  # long unused: the refill since the count began exceeds the use
-    assert c.repair_due == pytest.approx(20.0)
+    assert c.count_correction_due == pytest.approx(20.0)
     assert c.allowance.level == pytest.approx(8.0)
 
 
-def test_use_far_beyond_an_empty_store_is_repaired_once_it_has_lasted() -> None:
+def test_use_far_beyond_an_empty_store_is_corrected_once_it_has_lasted() -> None:
     # Use beyond the quota takes nothing from the store.  Left in the count, it caused long refusals.
     c = new_customer()
     apply_deficit(c, 30.0, SECOND)
-    assert c.repair_due == 0.0  # it may be repairs of several gateways, all but one to be undone
-    apply_deficit(c, 30.0, SECOND + c.repair_settle_ns - 1)
-    assert c.repair_due == 0.0
-    apply_deficit(c, 30.0, SECOND + c.repair_settle_ns)
-    assert c.repair_due == pytest.approx(-22.0)
+    assert (
+        c.count_correction_due == 0.0
+    )  # it may be corrections of several gateways, all but one to be undone
+    apply_deficit(c, 30.0, SECOND + c.correction_settle_ns - 1)
+    assert c.count_correction_due == 0.0
+    apply_deficit(c, 30.0, SECOND + c.correction_settle_ns)
+    assert c.count_correction_due == pytest.approx(-22.0)
     assert c.allowance.level == pytest.approx(0.0)
 
 
-def test_an_overuse_that_ends_by_itself_is_not_repaired_later() -> None:
+def test_an_overuse_that_ends_by_itself_is_not_corrected_later() -> None:
     c = new_customer()
     apply_deficit(c, 30.0, SECOND)
     apply_deficit(c, 5.0, 2 * SECOND)
     apply_deficit(c, 30.0, 3 * SECOND)
-    assert c.repair_due == 0.0
+    assert c.count_correction_due == 0.0
 
 
-# Use by other gateways between the reading and the repair, or units that they take back.
+# Use by other gateways between the reading and the correction, or units that they take back.
 @pytest.mark.parametrize("others", [0.0, 1.0, -1.0])
-def test_of_two_repairs_of_one_fault_the_second_is_undone(others: float) -> None:
-    for already_repaired, undone in ((0.0, 0.0), (20.0, -20.0)):
+def test_of_two_corrections_of_one_fault_the_second_is_undone(others: float) -> None:
+    for already_corrected, undone in ((0.0, 0.0), (20.0, -20.0)):
         c = new_customer()
         apply_deficit(c, -20.0, SECOND)
-        assert c.repair_due == pytest.approx(20.0)
-        deficit = -20.0 + already_repaired + others
-        apply_deficit(c, deficit + 20.0, SECOND + 10 * MS, repair=c.repair_due)
+        assert c.count_correction_due == pytest.approx(20.0)
+        deficit = -20.0 + already_corrected + others
+        apply_deficit(c, deficit + 20.0, SECOND + 10 * MS, correction=c.count_correction_due)
         assert c.unreported == pytest.approx(undone)
         assert c.allowance.level == pytest.approx(8.0 - max(0.0, others), abs=0.1)
 
 
-def test_of_several_gateways_that_read_a_wrong_count_one_repairs_it() -> None:
-    # Guards against gateways that repair each other's repairs: for a whole day that made eighteen thousand
-    # calls to one count.
+def test_of_several_gateways_that_read_a_wrong_count_one_corrects_it() -> None:
+    # Guards against gateways that correct each other's corrections: that made eighteen thousand calls to one
+    # count in a whole day.
     policies = [policy_with_servers() for _ in range(5)]
     totals = SharedCounter()
     now, pending = 40 * SECOND, list[tuple[Policy, interface.Count]]()
@@ -643,7 +645,7 @@
             pending = calls(actions)
             while pending:
                 call = pending.pop()
-                reported += call.amount - policy.quotas.calls[call.name].repair
+                reported += call.amount - policy.quotas.calls[call.name].correction
                 decided = policy.handle(
                     now, [interface.Counted(call.name, DELIVERED, totals.add(call, now), MS)]
                 )
@@ -677,9 +679,9 @@
 
 
 @pytest.mark.parametrize("gateways", [8, 20])
-def test_gateways_do_not_repair_each_others_repairs(gateways: int) -> None:
-    # Each gateway repaired what the others' repairs had made of the count: on one day a single call added
-    # 276,673 requests.
+def test_gateways_do_not_correct_each_others_corrections(gateways: int) -> None:
+    # Each gateway corrected what the others' corrections had made of the count: on one day a single call
+    # added 276,673 requests.
     policies, totals, rng = (
         [policy_with_servers() for _ in range(gateways)],
         SharedCounter(),
--- a/tests/test_wall_clock_counts.py
+++ b/tests/test_wall_clock_counts.py
@@ -3,7 +3,7 @@
 These tests guard against gateways that derive the names of counts, and the refill since a count began, each
 from its own clock.  A gateway that was an hour off read a count that nobody else used, and granted the
 reserve of the ceiling that the others had granted as well: 239 units beyond a ceiling in 20 s.  One that was
-3 s behind took use for refilled, and its repairs misled the others: 28 units.  Without the reserve, which
+3 s behind took use for refilled, and its corrections misled the others: 28 units.  Without the reserve, which
 only readings grant, no ceiling was exceeded.
 """
 
