--- a/gingerworks/gateway/config.py
+++ b/gingerworks/gateway/config.py
@@ -15,7 +15,7 @@
 
 Address = tuple[str, int]
 
-DEFAULT_SOCKETS = 1024  # for all connections of the process, if the file sets no limit
+DEFAULT_SOCKETS = 1024  # the limit on the process's open connections, if the file sets none
 
 
 class ConfigError(ValueError):
@@ -48,7 +48,8 @@
 def load(environment: Mapping[str, str], is_reload: bool = False) -> Config:
     """Read the file that NODE_CONFIG names; the other variables override what it says.
 
-    On a reload the file's address of discovery goes before the variable, which is as old as the process.
+    On a reload the file's address of discovery overrides the variable ``NODE_DISCOVERY``, which can't change
+    while the process runs.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -56,8 +57,8 @@
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
-    except (OSError, ValueError, RecursionError) as fault:
-        raise ConfigError(f"NODE_CONFIG: {fault}") from None
+    except (OSError, ValueError, RecursionError) as error:
+        raise ConfigError(f"NODE_CONFIG: {error}") from None
     if not isinstance(raw, dict):
         raise ConfigError("NODE_CONFIG: not an object")
     overrides = {
@@ -76,8 +77,8 @@
     try:
         settings = wire.settings_from(fields)
         idle_ns = fields.integer("limits.conn-idle-ns", "15000000000")
-    except ValueError as fault:
-        raise ConfigError(str(fault)) from None
+    except ValueError as error:
+        raise ConfigError(str(error)) from None
     if idle_ns <= 0:
         raise ConfigError("settings: limits.conn-idle-ns is out of range")
     if settings.has_counter and not raw.get("counter"):
