--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -170,7 +170,10 @@
         )
 
     def defers_customer_calls(self, now: int) -> bool:
-        """Whether calls for customers' counts wait for the first attempt's end: milliseconds in a small fleet."""
+        """Whether calls for customers' shared counts wait for the end of the first attempt at agreement.
+
+        Only a small fleet defers them, as its first attempt takes just milliseconds.
+        """
         return self._gateways <= SMALL_FLEET_GATEWAYS and self._is_first_attempt(now)
 
     def _is_first_attempt(self, now: int) -> bool:
