--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -39,18 +39,16 @@
 # After so many times the longest wait for an answer of the counter, a gateway has read the shared count with
 # any correction that was made to it, and without the duplicates of that correction by other gateways.
 CORRECTION_SETTLE_WAITS = 4
-READING_TRUST_PERIODS = (
-    3.0  # a reading of the shared count is trusted less and less after so many report periods
-)
+# A reading of the shared count is trusted less and less after so many report periods.
+READING_TRUST_PERIODS = 3.0
 # A gateway's part of a ceiling uses this fraction of the ceiling's slack, which is the use beyond the ceiling
 # that is tolerated; the rest of the slack is for errors that this module does not foresee.
 CEILING_SLACK_USED = 0.5
 # Each gateway's part of a ceiling holds at least so many requests of the largest size, unless a ceiling's
 # reserve of MIN_RESERVED_FRACTION leaves less.
 MIN_CEILING_PART_REQUESTS = 1.5
-MIN_RESERVED_FRACTION = (
-    0.5  # the least reserve of a ceiling that is large enough for it, as a fraction of the quota
-)
+# The least reserve of a ceiling that is large enough for it, as a fraction of the quota.
+MIN_RESERVED_FRACTION = 0.5
 # Fraction of the burst that is set aside within a ceiling, because a shared count that shows no more refill
 # than this beyond a full store is not corrected.
 CEILING_TOLERATED_SURPLUS = 0.1
@@ -93,9 +91,8 @@
         # Estimate of the units that the quota's store holds, refilled at this gateway's share of the rate.
         # Each reading of the shared count replaces it.
         self.allowance = GapCounter(cap, initial, context.rng.random())
-        self.ceiling_allowance: GapCounter | None = (
-            None  # this gateway's part of the ceiling, if the plan has one
-        )
+        # This gateway's part of the ceiling, if the plan has one.
+        self.ceiling_allowance: GapCounter | None = None
         # Readings admit requests beyond the gateways' parts of the ceiling only while the quota's store lacks
         # no more than the ceiling's reserve.  The reserve is as large as the quota if the rest of the ceiling
         # is large enough for the parts.  Refill beyond a full store that the shared count may show is set
@@ -128,23 +125,23 @@
             )
             self.ceiling_allowance.refill(self.ceiling_even_rate * (now - context.started_ns) / SECOND)
         self.even_rate = plan.rate / entries
-        # This gateway's share of the quota, which readings do not replace: it limits the requests that are
-        # admitted without one.  A share that is smaller than a request is saved up until it covers one.
+        # This gateway's share of the quota, which readings do not replace: for requests that no reading is
+        # taken for.  A share that is smaller than a request is saved up until it covers one.
         self.share_allowance = GapCounter(cap, self.even_burst, 0.0)
-        self.others_rate = plan.rate - self.even_rate  # estimated use at all other gateways
+        self.others_rate = plan.rate - self.even_rate  # estimated rate of use at all other gateways together
         self.deficit = -math.inf  # units that the store lacked at the last reading; -inf: none has been taken
         # To be added to the shared count: unreported use, which is below 0 if units added before have to be
         # taken back, and the amount that corrects the count.
         self.unreported = self.count_correction_due = 0.0
-        self.deficit_before_correction = 0.0  # shown by the count when a correction was found to be due
-        self.count_corrected_at_ns = -math.inf
-        self.overuse_since_ns: int | None = (
-            None  # when readings began to show more than the tolerated overuse
+        self.deficit_before_correction = (
+            0.0  # shown by the shared count when a correction was found to be due
         )
+        self.count_corrected_at_ns = -math.inf
+        # When readings of the shared count began to show more than the tolerated overuse.
+        self.overuse_since_ns: int | None = None
         self.pass_rate = PassRate()
-        self.own_deficit = (
-            0.0  # the least that the store lacks, by the use that this gateway alone has sent on
-        )
+        # The least that the quota's store can lack, by the use that this gateway alone has sent on.
+        self.own_deficit = 0.0
         self.own_deficit_at_ns = self.demand_at_ns = now
         self.demand = 0.0  # units requested at this gateway lately; earlier ones count for less
         self.refilled_at_ns = self.read_at_ns = self.last_request_at_ns = now
@@ -286,11 +283,11 @@
     def apply_reading(
         self, call: CounterCall, total: float, now: int
     ) -> list[tuple[InFlightRequest[Customer], bool]]:
-        """Learn the store's deficit from a total; returns whether it covers each of the requests held."""
+        """Apply a total of the shared count; returns whether the store covers each request that was held."""
         refilled = self.plan.rate * (now - call.count_began_ns) / SECOND
         total -= self.undo_duplicate_correction(call, total - call.amount - refilled)
         reported = max(0.0, call.reported)  # below 0, the call took back units that were never used
-        # The deficit without the use that this call reported and booked.
+        # The store's deficit without the use that this call reported and booked.
         deficit_before = total - (call.amount - call.reported - call.correction + reported) - refilled
         unreported, correction = max(0.0, self.unreported), self.count_correction_for(deficit_before, now)
         self.count_correction_due, self.deficit_before_correction = correction, deficit_before
