--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -19,13 +19,16 @@
 from gingerworks.policy.in_flight import InFlightRequest
 from gingerworks.policy.speculative_admission import Headroom, SpeculativeAdmission, UncertainRequest
 
-MIN_READ_FRACTION = 0.1  # of uncertain requests that are read for even if the counter does not answer
-MAX_CUSTOMERS = 20_000  # known at a time: far more than send requests within a few sweeps
-# Of the allowance, or of the even share if that is more: more unreported use than this is reported at once,
-# as the other gateways admit requests from the same store.
+# Readings are taken for at least this fraction of uncertain requests, even if the counter does not answer.
+MIN_READ_FRACTION = 0.1
+MAX_CUSTOMERS = 20_000  # customers remembered at a time: far more than send requests within a few sweeps
+# Unreported use beyond this fraction of a customer's allowance, or of its even share of the burst if that is
+# more, is reported at once, as the other gateways admit requests from the same store.
 URGENT_REPORT_FRACTION = 0.25
-MAX_UNREPORTED = 0.5  # of the burst: more use that was admitted by estimates is reported by a call of its own
-COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS  # without an answer: then the counter is taken to be out of service
+# Use admitted by estimates is reported by a call of its own once this fraction of the burst is unreported.
+MAX_UNREPORTED = 0.5
+# The counter is taken to be out of service after this time without an answer.
+COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS
 
 
 class Quotas:
@@ -40,12 +43,12 @@
         self.started_ns = started_ns
         self.plans = {plan.name: plan for plan in settings.plans}
         self.customers: dict[tuple[str, str], Customer] = {}
-        self.calls: dict[int, CounterCall] = {}  # without an answer yet, by the name of the count
+        self.calls: dict[int, CounterCall] = {}  # calls without an answer yet, by the name of the count
         self.speculation = SpeculativeAdmission(rng)
-        # The fraction of uncertain requests that readings are taken for, and that up to which the counter has
-        # kept up lately; see ``adapt_read_fraction``.
+        # The fraction of uncertain requests that readings are taken for, and the fraction at which the
+        # counter has lately answered in time; see ``adapt_read_fraction``.
         self.read_fraction = self.sustained_fraction = 1.0
-        self.answered_at_ns = started_ns  # the last answer in time
+        self.answered_at_ns = started_ns  # when the counter last answered in time
 
     def customer(self, request: interface.Request, now: int) -> Customer:
         """The customer of a request, with its allowances refilled.
@@ -55,7 +58,9 @@
         """
         key = (request.customer, request.plan)
         if key not in self.customers and len(self.customers) >= MAX_CUSTOMERS:
-            del self.customers[next(iter(self.customers))]  # the one that has been known for longest
+            del self.customers[
+                next(iter(self.customers))
+            ]  # the customer that has been remembered for longest
         customer = self.customers[key] = self.customers.get(key) or Customer(request, self, now)
         customer.refill_allowances(now)
         customer.last_request_at_ns = now
@@ -79,7 +84,8 @@
     def should_read(self, inflight: InFlightRequest[Customer], headroom: Headroom, now: int) -> bool:
         """Whether to take a reading for an uncertain request.
 
-        While the counter is late, most are taken where deciding without a reading is expected to cost most.
+        While the counter is late, most readings are taken where a decision without one is expected to cost
+        most.
         """
         if not self.settings.has_counter:
             return False
@@ -89,7 +95,7 @@
         )
 
     def assess(self, inflight: InFlightRequest[Customer], headroom: Headroom) -> UncertainRequest:
-        """What is known of a request that the allowance, or this part of the ceiling, does not cover."""
+        """What is known of a request beyond the allowance or beyond the gateway's part of a ceiling."""
         customer, is_retry = inflight.customer, inflight.request.is_retry
         plan = customer.plan
         chance = self.speculation.chance(plan.name, is_retry, headroom, customer.pass_rate)
@@ -98,7 +104,7 @@
         )
 
     def admits_without_reading(self, inflight: InFlightRequest[Customer], now: int) -> bool:
-        """Whether to admit an uncertain request: by estimates, or the even share if the counter is silent."""
+        """Whether to admit an uncertain request: by estimates, or the even share if calls get no answer."""
         customer, units, uncertain = inflight.customer, inflight.request.units, inflight.uncertainty
         silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_customer_calls(now)
         if uncertain is None or silent:
@@ -108,35 +114,35 @@
         )
 
     def worth(self, inflight: InFlightRequest[Customer]) -> float:
-        """What serving a request within its quota is worth."""
+        """The worth of serving a request within its quota."""
         return inflight.request_class.worth * inflight.customer.plan.price * inflight.request.units
 
     def record_sent(self, inflight: InFlightRequest[Customer], now: int) -> None:
-        """Record that a request was sent on for the first time."""
+        """Record that the first attempt of a request was sent to a server."""
         inflight.customer.record_sent(inflight.request.units, now)
         self.speculation.record_sent(self.worth(inflight))
 
     def learn(self, inflight: InFlightRequest[Customer], passed: bool) -> None:
-        """Learn from whether a reading admitted an uncertain request."""
+        """Update the estimates with whether a reading admitted an uncertain request."""
         if inflight.uncertainty is not None:
             self.speculation.learn(inflight.uncertainty, inflight.customer.pass_rate, passed)
 
     def is_report_urgent(self, customer: Customer) -> bool:
-        """Whether there is so much unreported use that the other gateways should know of it now."""
+        """Whether a customer has so much unreported use that the other gateways should know of it now."""
         return customer.unreported > URGENT_REPORT_FRACTION * max(
             customer.even_burst, customer.allowance.level
         )
 
     def record_unreported(self, customer: Customer, units: float) -> bool:
-        """Record use that no call has reported; returns whether to plan a call that reports it."""
+        """Record an admitted request's use; returns whether to plan a call that reports it."""
         customer.unreported += units
         return units <= customer.even_burst or customer.unreported > MAX_UNREPORTED * customer.allowance.cap
 
     def schedule_report(self, customer: Customer, now: int) -> int | None:
         """When to report this customer's use; ``None`` if no report is needed, or one is planned already.
 
-        Use that is not urgent waits for a report period, which is longer while the counter is late and varies
-        at random.
+        A report that is not urgent waits for a report period, which is longer while the counter is late and
+        varies at random.
         """
         if not self.settings.has_counter or customer.plan.rate <= 0:
             return None
@@ -148,10 +154,14 @@
         return now + int(REPORT_PERIOD_NS / self.read_fraction * (0.75 + 0.5 * self.rng.random()))
 
     def start_call(self, customer: Customer, now: int, correction: float = 0.0) -> list[interface.Count]:
-        """A call for this customer, unless one is in flight; ``correction`` is added to correct the count."""
+        """Start a call to the counter for a customer, if there is anything to send and no call in flight.
+
+        The call reports the customer's unreported use and takes readings for its waiting requests.
+        ``correction`` is an amount that corrects a count that is known to be wrong.
+        """
         customer.report_scheduled = False
-        # Use so long ago that the store has refilled since need not be reported.  Otherwise a counter that
-        # refuses calls would be called again and again for ever more customers that were seen once.
+        # Use need not be reported if the quota has refilled in full since.  Otherwise a counter that refuses
+        # calls would be called again and again for ever more customers that were seen once.
         if (now - customer.last_request_at_ns) * customer.plan.rate > customer.allowance.cap * SECOND:
             customer.unreported = min(0.0, customer.unreported)
         if customer.pending_call is not None or not (customer.waiting or customer.unreported or correction):
@@ -164,10 +174,10 @@
         return [interface.Count(name, call.amount, COUNT_TTL_NS)]
 
     def start_count_correction(self, customer: Customer, now: int) -> list[interface.Count]:
-        """Make the correction that the last reading found due, unless this gateway has made one just before.
+        """Correct the shared count if the last reading showed it to be wrong, unless this was just done here.
 
-        Other gateways may find the same fault and correct it too; all but the first take theirs back, see
-        ``Customer.undo_duplicate_correction``.
+        Other gateways may find the same fault and correct it too; all but the first take their corrections
+        back, see ``Customer.undo_duplicate_correction``.
         """
         if (
             not customer.count_correction_due
@@ -181,13 +191,15 @@
     def handle_answer(
         self, answer: interface.Counted, now: int
     ) -> tuple[Customer, list[tuple[InFlightRequest[Customer], bool]]] | None:
-        """Apply an answer; returns its customer, and whether the quota covers each request held for it."""
+        """Apply the answer to a customer's call; returns the customer and which held requests are covered."""
         call = self.calls.pop(answer.name, None)
         if call is None:
             return None
         customer = call.customer
         if call.clock_steps_at_start != self.clock.clock_steps:
-            # The call was added to a count that the others do not read, so it is still to be added to theirs.
+            # The gateway has changed its time, and so the name of the count, since the call.  The units of
+            # the call were added to a count that the other gateways do not read; they are still to be added
+            # to the count that the others read.
             answer = replace(answer, status=interface.Status.UNUSED)
         call.clock_agreed = call.clock_agreed and self.clock.agrees(now)
         customer.refill_allowances(now)
@@ -208,14 +220,14 @@
             units = inflight.request.units
             covered = customer.covers_without_reading(units) and customer.ceiling_part_covers(units)
             booked_anyway = 0.0 if answer.status.never_ran else booked
-            # What the call booked has most likely been added: a late counter still carries out calls that
-            # nobody waits for any more.
+            # The units that the call booked have most likely been added to the count: a late counter still
+            # carries out calls whose callers have stopped waiting.
             customer.unreported += (units if covered else 0.0) - booked_anyway
             decisions.append((inflight, covered))
         return customer, decisions
 
     def handle_clock_answer(self, answer: interface.Counted, now: int) -> None:
-        """Apply the answer to a call of the clock; if it changes the time, discard what was read before."""
+        """Apply an answer to the clock synchronisation; if it changes the time, discard the readings."""
         steps = self.clock.clock_steps
         self.clock.handle_answer(answer, now)
         if self.clock.clock_steps != steps:
@@ -224,11 +236,11 @@
                 customer.discard_readings(now)
 
     def adapt_read_fraction(self, late: bool) -> None:
-        """Adapt the readings to what the counter answers in time, as TCP adapts its congestion window.
+        """Adapt the number of readings to the counter's speed, as TCP adapts its congestion window.
 
-        A late or missing answer cuts the fraction of requests that are read for.  After that it doubles with
-        each answer in time up to what the counter has sustained, so that an outage is soon made up for, and
-        grows slowly beyond.
+        A late or missing answer cuts the fraction of uncertain requests that readings are taken for.  Then
+        each answer in time doubles the fraction, up to the one at which the counter has answered in time
+        lately, so that it soon recovers from an outage.  Beyond that it grows slowly.
         """
         if late:
             if self.read_fraction >= self.sustained_fraction:
@@ -240,7 +252,7 @@
             self.read_fraction = self.sustained_fraction = min(1.0, self.read_fraction + 0.01)
 
     def sweep(self, now: int) -> None:
-        """Forget idle customers with a full store, so that customers seen once do not fill the memory."""
+        """Forget idle customers with a full quota, so that customers seen once do not fill the memory."""
         for key in list(self.customers):
             customer = self.customers[key]
             customer.refill_allowances(now)
