--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -19,16 +19,23 @@
 from gingerworks.policy.constants import EPSILON
 from gingerworks.policy.gap_counter import GapCounter
 
-CUSTOMER_MEMORY = 0.8  # kept of a customer's earlier readings at each new one: about the last five count
-GATEWAY_MEMORY = 0.98  # kept of a gateway's earlier readings of one kind: about the last fifty count
-PRIOR_READINGS = 2.0  # the estimate from the wider group of readings weighs as much as so many readings
-START_CHANCE = 0.75  # that a reading admits a request, before there has been any: stores start full
-BUSY_DEMAND = 0.25  # of the burst: recent demand from which a customer without a reading counts as busy
-SCANT_HEADROOM = 0.25  # of the burst
-AMPLE_HEADROOM = 0.6  # of the burst
-OVERRUN_BUDGET_FRACTION = 0.02  # of all worth sent on: what speculative overruns may be expected to cost
-OVERRUN_BUDGET_REQUESTS = 5.0  # in mean worths of requests: how much of that budget can be saved up
-MIN_MEAN_GAIN = 0.02  # weight of one value in a running mean, which thus covers about the last fifty
+# Each new reading for a customer multiplies the weight of its earlier readings by this: about the last five
+# count.
+CUSTOMER_MEMORY = 0.8
+# Each new reading of one kind at a gateway multiplies the weight of earlier readings of that kind by this:
+# about the last fifty count.
+GATEWAY_MEMORY = 0.98
+# An estimate from a wider group, such as all customers of a plan, weighs as much as so many readings of the
+# narrower group, such as one customer.
+PRIOR_READINGS = 2.0
+START_CHANCE = 0.75  # estimated chance that the very first reading admits its request: quotas start unused
+BUSY_DEMAND = 0.25  # a customer counts as busy if it lately requested at least this fraction of its burst
+SCANT_HEADROOM = 0.25  # headroom is scant if less than this fraction of the burst is left after a request
+AMPLE_HEADROOM = 0.6  # headroom is ample if at least this fraction of the burst is left after a request
+# Speculative overruns may be expected to cost this fraction of the worth of all requests sent to servers.
+OVERRUN_BUDGET_FRACTION = 0.02
+OVERRUN_BUDGET_REQUESTS = 5.0  # the budget for overruns saves up at most the mean worth of so many requests
+MIN_MEAN_GAIN = 0.02  # least weight of a new value in a running mean, which thus covers about the last fifty
 
 
 class Headroom(Enum):
@@ -44,7 +51,7 @@
 
 
 def headroom_of(left: float) -> Headroom:
-    """The headroom if this fraction of the burst is left after the request."""
+    """The headroom of a request that leaves this fraction of the burst unused; below 0, it lacks units."""
     if left < 0:
         return Headroom.NONE
     if left < SCANT_HEADROOM:
@@ -53,18 +60,21 @@
 
 
 class PassRate:
-    """The fraction of readings that admitted the request; older ones count for less."""
+    """The fraction of readings that admitted the request they were taken for; older ones count for less."""
 
     def __init__(self) -> None:
         self.readings = 0.0
         self.passed = 0.0
 
     def estimate(self, prior: float) -> float:
-        """The fraction that passed; ``prior`` is the estimate from a wider group, for want of readings."""
+        """The estimated chance that a reading admits a request.
+
+        ``prior`` is the estimate from a wider group of readings, which counts the more, the fewer there are.
+        """
         return (self.passed + PRIOR_READINGS * prior) / (self.readings + PRIOR_READINGS)
 
     def add(self, passed: bool, memory: float) -> None:
-        """Count one reading; the weight of earlier ones is multiplied by ``memory``."""
+        """Add one reading; the weight of earlier readings is multiplied by ``memory``."""
         self.readings = self.readings * memory + 1.0
         self.passed = self.passed * memory + passed
 
@@ -89,19 +99,19 @@
 
     @property
     def expected_cost(self) -> float:
-        """Expected cost of admitting it without a reading."""
+        """Expected cost of admitting the request without a reading."""
         return (1.0 - self.chance) * self.overrun_cost * self.worth
 
     @property
     def is_worthwhile(self) -> bool:
-        """Whether admitting it without a reading is expected to gain at least what it costs."""
+        """Whether admitting the request without a reading is expected to gain at least what it costs."""
         return self.chance * self.worth >= self.expected_cost
 
     @property
     def loss_without_reading(self) -> float:
-        """Expected loss without a reading, by the better choice of admitting and refusing.
+        """Expected loss if no reading is taken, by the better choice of admitting and refusing the request.
 
-        Beyond this gateway's part of the ceiling there is no choice: it would be refused.
+        A request beyond this gateway's part of the ceiling would be refused in any case.
         """
         refused = self.chance * self.worth
         return refused if self.headroom is Headroom.BEYOND_PART else min(refused, self.expected_cost)
@@ -116,40 +126,40 @@
         self._plan_pass_rates: dict[tuple[str, bool, Headroom], PassRate] = {}
         self._mean_loss = Mean()
         self._mean_worth = Mean()
-        # Empty at first, as it is not known what this gateway admitted before a restart.
+        # The budget for overruns starts empty: what this gateway admitted before a restart is not known.
         self._budget = GapCounter(EPSILON, 0.0, 0.0)
 
     def chance(self, plan: str, is_retry: bool, headroom: Headroom, customer_rate: PassRate) -> float:
-        """The chance that a reading admits such a request of a customer with this pass rate."""
+        """The chance that a reading admits a request of this kind from a customer with this pass rate."""
         overall_rate = self._pass_rates.get((is_retry, headroom), NO_READINGS)
         plan_rate = self._plan_pass_rates.get((plan, is_retry, headroom), NO_READINGS)
         return customer_rate.estimate(plan_rate.estimate(overall_rate.estimate(START_CHANCE)))
 
     def learn(self, uncertain: UncertainRequest, customer_rate: PassRate, passed: bool) -> None:
-        """Learn from a reading for an uncertain request."""
+        """Update the pass rates with whether a reading admitted an uncertain request."""
         customer_rate.add(passed, CUSTOMER_MEMORY)
         kind = uncertain.is_retry, uncertain.headroom
         self._pass_rates.setdefault(kind, PassRate()).add(passed, GATEWAY_MEMORY)
         self._plan_pass_rates.setdefault((uncertain.plan, *kind), PassRate()).add(passed, GATEWAY_MEMORY)
 
     def should_read(self, uncertain: UncertainRequest, read_fraction: float) -> bool:
-        """Whether to take a reading: the more likely, the more is lost without one.
+        """Whether to take a reading for a request; likelier, the larger the expected loss without a reading.
 
-        ``read_fraction`` is the fraction of uncertain requests to read for; 1 stands for all of them.
+        ``read_fraction`` is the fraction of uncertain requests that readings are taken for; 1 stands for all.
         """
         self._mean_loss.add(uncertain.loss_without_reading)
         if read_fraction >= 1.0:
             return True
-        # About the given fraction while that is small; as it nears 1, the odds rise until all are read for.
+        # The chance of a reading averages about ``read_fraction`` while that is small, and nears 1 with it.
         odds = read_fraction / (1.0 - read_fraction**2)
         return self._rng.random() < odds * uncertain.loss_without_reading / max(
             EPSILON, self._mean_loss.value
         )
 
     def admits(self, uncertain: UncertainRequest) -> bool:
-        """Whether to admit a request without a reading, at the expense of the budget for overruns.
+        """Whether to admit a request without a reading; its expected cost is taken from the overrun budget.
 
-        The less of the budget is left, the more its expected gain has to exceed its expected cost.
+        The less of the budget is left, the more the expected gain has to exceed the expected cost.
         """
         cost, budget = uncertain.expected_cost, self._budget
         if not budget.covers(cost) or uncertain.chance * uncertain.worth * budget.level < cost * budget.cap:
@@ -158,7 +168,7 @@
         return True
 
     def record_sent(self, worth: float) -> None:
-        """Record that a request was sent on, which adds to the budget for overruns."""
+        """Record the worth of a request sent to a server; a fraction of it is added to the overrun budget."""
         self._mean_worth.add(worth)
         self._budget.resize(max(EPSILON, OVERRUN_BUDGET_REQUESTS * self._mean_worth.value))
         self._budget.refill(OVERRUN_BUDGET_FRACTION * worth)
@@ -172,6 +182,6 @@
         self._count = 0
 
     def add(self, value: float) -> None:
-        """Add one value."""
+        """Update the mean with one more value."""
         self._count += 1
         self.value += max(MIN_MEAN_GAIN, 1.0 / self._count) * (value - self.value)
