--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -1,8 +1,8 @@
 """The entry point of the decisions: ``Policy`` takes events, consults the other modules and returns actions.
 
 A request is admitted, held until the shared counter has answered, or refused.  An admitted request gets one
-attempt, and further ones (retries, hedges) within the retry budget, and one final answer, a tick before its
-deadline at the latest.  Callbacks for later are kept in a heap; a timer is requested for the earliest one.
+attempt, and further ones (retries, hedges) within the retry budget, and one final answer, a timer tick before
+its deadline at the latest.  Callbacks for later are kept in a heap; a timer is requested for the earliest.
 Times are nanoseconds of the caller's clock.
 """
 
@@ -23,11 +23,11 @@
 from gingerworks.policy.servers import Backend, Servers
 from gingerworks.policy.speculative_admission import Headroom
 
-KEEPS_UP_FRACTION = 0.5  # of uncertain requests: the counter keeps up while readings are taken for so many
-RETRY_SHARE = 0.1  # further attempts per admitted request in the long run: bounds retry storms
-RETRY_BURST = 10.0  # further attempts that may be saved up, so that one failure among few is retried
-OVERDUE_AIM_FRACTION = 0.35  # an answer is overdue after this part of the aim at the earliest
-DEFAULT_WAIT_NS = 60_000_000  # advised with a refusal if the wait is not known: about half an answer time
+KEEPS_UP_FRACTION = 0.5  # the counter keeps up if readings are taken for this fraction of uncertain requests
+RETRY_SHARE = 0.1  # retries and hedges per admitted request in the long run: bounds retry storms
+RETRY_BURST = 10.0  # retries and hedges that may be saved up, so that a failure among few requests is retried
+OVERDUE_AIM_FRACTION = 0.35  # an answer is overdue after this fraction of its request's aim at the earliest
+DEFAULT_WAIT_NS = 60_000_000  # wait advised with a refusal if none is known: about half a usual answer time
 
 
 class Policy:
@@ -37,16 +37,16 @@
         self.settings = settings
         self.rng = random.Random(seed)
         self.request_classes = {request_class.name: request_class for request_class in settings.classes}
-        # A generator of its own: the clock's random draws do not change those of the other decisions.
+        # The clock has its own generator, so that its random draws do not change those of other decisions.
         clock = ClockSync(settings.gateways, random.Random(f"{seed} clock"))
         self.quotas = Quotas(settings, self.rng, now, clock)
         self.servers = Servers(settings, self.rng, now)
         self.shedder = LoadShedder(settings, now)
         self.retry_budget = GapCounter(RETRY_BURST, RETRY_BURST, 0.0)
         self.in_flight: dict[int, InFlightRequest[Customer]] = {}
-        self.deferred_calls: dict[str, Customer] = {}  # until the first attempt at agreement on the time ends
-        self.scheduled: list[tuple[int, int, Callable[[], None]]] = []  # a heap, by time and sequence
-        self.reported_states: set[str] = set()  # logged as begun, not yet as ended
+        self.deferred_calls: dict[str, Customer] = {}  # held back in the first clock sync, by customer key
+        self.scheduled: list[tuple[int, int, Callable[[], None]]] = []  # heap by time, then order of adding
+        self.reported_states: set[str] = set()  # states logged as begun and not yet as ended
         self.scheduled_count = 0
         self.timer_due_ns: int | None = None
         self.shutdown_deadline_ns: int | None = None
@@ -69,7 +69,7 @@
         return self.actions
 
     def handle_event(self, event: interface.Event) -> None:
-        """Dispatch one event; timers only let due callbacks run, and results of probes are not used."""
+        """Dispatch one event; timer events need no handling, and results of probes are not used."""
         match event:
             case interface.Request():
                 self.handle_request(event)
@@ -88,7 +88,7 @@
                 self.begin_shutdown(event.answers_due_ns)
             case interface.Started():
                 if inflight := self.in_flight.get(event.id):
-                    inflight.streaming = True  # it has no deadline any more and gets no further attempt
+                    inflight.streaming = True  # a stream has no deadline and gets no further attempt
 
     def schedule(self, at_ns: int, callback: Callable[[], None]) -> None:
         """Call back at this time; callbacks for the same time run in the order of these calls."""
@@ -123,7 +123,7 @@
                 self.actions.append(interface.Log(text if holds else f"ended: {text}"))
 
     def begin_shutdown(self, answers_due_ns: int) -> None:
-        """Apply the shutdown's deadline to all requests in flight and still to come."""
+        """Apply the shutdown's deadline to all requests in flight and to new ones."""
         self.shutdown_deadline_ns = answers_due_ns
         for inflight in self.in_flight.values():
             if inflight.deadline_ns > answers_due_ns:
@@ -131,14 +131,14 @@
                 self._schedule_end(inflight)
 
     def _schedule_end(self, inflight: InFlightRequest[Customer]) -> None:
-        """End a request without an answer a tick before its deadline."""
+        """Schedule the end of a request that has no answer a timer tick before its deadline."""
         due_ns = max(self.now, inflight.deadline_ns - self.settings.tick_ns)
         self.schedule(due_ns, lambda: self.end_unserved(inflight))
 
     def _shutdown_cuts_short(self, inflight: InFlightRequest[Customer]) -> bool:
         """Whether the shutdown leaves a request less time than its aim.
 
-        If it is refused at once, another gateway can still answer it within the aim.
+        If the request is refused at once, another gateway can still answer it within its aim.
         """
         if self.shutdown_deadline_ns is None or inflight.deadline_ns < self.shutdown_deadline_ns:
             return False
@@ -193,7 +193,7 @@
         return self.rng.random() > self.shedder.pass_probability(request_class, plan, units, work, self.now)
 
     def admit(self, inflight: InFlightRequest[Customer], charge: float, booked: bool = False) -> bool:
-        """Start the first attempt of a request, or refuse it; ``booked``: a reading has booked its units."""
+        """Start a request's first attempt, or refuse it; ``booked``: its units are in the shared count."""
         customer, units = inflight.customer, inflight.request.units
         backend = self.choose_backend(inflight)
         booked = booked and customer.may_use_ceiling_reserve
@@ -225,8 +225,8 @@
         for inflight, covered in decisions:
             if not inflight.closed:
                 self._decide(inflight, covered)
-        # Units booked for refused requests are taken back at once only while the counter keeps up: these
-        # calls were a quarter of all that it got.
+        # Units booked for refused requests are taken back at once only while the counter keeps up: the calls
+        # that take back units were a quarter of all calls to the counter.
         is_urgent = customer.unreported < 0 and self.quotas.read_fraction >= KEEPS_UP_FRACTION
         is_urgent = is_urgent or (customer.unreported > 0 and call.books_later)
         if customer.counter_answered:
@@ -245,7 +245,7 @@
         if not covered:
             self.decline(inflight, customer.refill_wait_ns(units))
         elif not self.admit(inflight, units, customer.counter_answered):
-            # Otherwise the shared count would keep units booked for requests that the ceiling refused.
+            # Otherwise the shared count would keep the units booked for a request that is refused after all.
             customer.undo_booking(units)
 
     def schedule_report(self, customer: Customer) -> None:
@@ -267,6 +267,7 @@
                 self.actions.append(action)
 
     def _schedule_unsent_answer(self, name: int) -> None:
+        """Answer a call of the counter as unsent, because the clock synchronisation has suspended calls."""
         self.schedule(
             self.now, lambda: self.handle_counted(interface.Counted(name, interface.Status.UNUSED, 0.0, 0))
         )
@@ -306,7 +307,7 @@
             inflight.attempts_in_flight() and not limits.hedging
         ):
             return None
-        # An attempt that first has to connect could arrive after the window in which repeats are dropped.
+        # An attempt that first has to connect could arrive after the time in which servers drop repeats.
         arrives_by_ns = self.now + limits.connect_timeout_ns
         allowed = (b for b in self.servers.backends.values() if inflight.allows_attempt_on(b, arrives_by_ns))
         tried = [attempt.backend.entry.name for attempt in inflight.attempts]
@@ -338,7 +339,7 @@
         ):
             return
         last, limits = inflight.attempts[-1], self.settings.limits
-        # If the server has answered others since, the request itself takes long, as it would elsewhere.
+        # If the server has answered other requests since, this one takes long itself, as it would elsewhere.
         if last.backend.waiting_since_ns > last.sent_ns or not self.retry_budget.covers(1.0):
             return
         if limits.hedging:
@@ -351,7 +352,7 @@
             self.actions.append(interface.CancelAttempt(inflight.request.id, len(inflight.attempts) - 1))
 
     def _stop_counting_as_load(self, inflight: InFlightRequest[Customer]) -> None:
-        """Stop counting overdue attempts as load: their answers may be lost."""
+        """Stop counting overdue attempts as load on the servers: their answers may be lost."""
         for attempt in inflight.attempts:
             if attempt.in_flight and attempt.counts_as_load and attempt.sent_ns < self.now:
                 attempt.counts_as_load = False
@@ -381,7 +382,7 @@
         attempt.may_have_run = not outcome.status.never_ran
         self.servers.attempt_ended(attempt.backend, outcome, request_class, self.now)
         # Slow answers and refusals are signs of load.  Broken connections and errors are not, and attempts
-        # that were never sent say nothing about it.
+        # that were never sent say nothing about load.
         target_ns = self.servers.target_answer_ns(request_class)
         if outcome.status is interface.Status.SHED:
             self.shedder.time_in_flight_ns += OVERDUE_MEANS * target_ns
@@ -396,16 +397,16 @@
             inflight.customer.unreported += extra
 
     def retry_or_end(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
-        """Nothing is in flight any more: retry the request or end it."""
-        # Cancelling charged the budget already; unsent attempts and failed connections cost servers no work.
+        """Retry a request that has no attempt in flight any more, or end it."""
+        # Cancelling charged the retry budget already; unsent attempts and failed connections cost no work.
         free = outcome.status in (
             interface.Status.CANCELLED,
             interface.Status.DIAL_FAILED,
             interface.Status.UNUSED,
         )
         cost = 0.0 if free else 1.0
-        has_time = inflight.deadline_ns - self.now > 2 * self.settings.tick_ns
-        backend = self.choose_backend(inflight) if has_time and self.retry_budget.covers(cost) else None
+        retry_in_time = inflight.deadline_ns - self.now > 2 * self.settings.tick_ns
+        backend = self.choose_backend(inflight) if retry_in_time and self.retry_budget.covers(cost) else None
         if backend is None:
             return self.end_unserved(inflight)
         self.retry_budget.adjust(-cost)
