--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -649,7 +649,7 @@
         await wait_until(lambda: len(server.requests) == FAST_ANSWERS + 1)
         assigned_actions = run_before_assign(gw, 2, lambda: None)
         await fill_receive_buffer(gw, late.socket, b"\x00" * 40)
-        await wait_until(lambda: len(assigned_actions) == 1)  # the decision module asked for a hedge
+        await wait_until(lambda: len(assigned_actions) == 1)  # the policy asked for a hedge
         release.set()
         assert (await asyncio.get_running_loop().sock_recv(late.socket, 12)) == b"HTTP/1.1 200"
         assert len(server.requests) == FAST_ANSWERS + 1
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -493,7 +493,7 @@
     run(scenario())
 
 
-def test_exception_in_the_decision_module_fails_only_the_requests_in_flight(
+def test_exception_in_the_policy_fails_only_the_requests_in_flight(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def scenario() -> None:
@@ -520,7 +520,7 @@
 
 def test_timers_never_fire_early() -> None:
     # The event loop's clock counts whole milliseconds and doesn't advance within a turn, so its timers may
-    # fire early; the decision module sets each timer only once and relies on its time.
+    # fire early; the policy sets each timer only once and relies on its time.
     async def scenario() -> None:
         gw = gateway()
         fired: list[tuple[int, int]] = []
@@ -669,7 +669,7 @@
 
 
 def test_attempt_started_in_the_turn_of_the_disconnect_is_cleaned_up() -> None:
-    # In one loop turn the decision module starts a further attempt and is then informed of the disconnect.
+    # In one loop turn the policy starts a further attempt and is then informed of the disconnect.
     async def scenario() -> None:
         server = await silent_server()
         gw = gateway(server.address)
--- a/tests/test_shutdown_deadline.py
+++ b/tests/test_shutdown_deadline.py
@@ -395,7 +395,7 @@
     run_virtual(scenario())
 
 
-def test_decision_module_that_raises_during_shutdown_still_meets_the_deadline(
+def test_policy_that_raises_during_shutdown_still_meets_the_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
@@ -421,7 +421,7 @@
     run_virtual(scenario())
 
 
-def test_restarted_decision_module_still_refuses_requests_with_too_little_time() -> None:
+def test_restarted_policy_still_refuses_requests_with_too_little_time() -> None:
     async def scenario() -> None:
         server = await hanging_server()
         gw = accepting_gateway(server.address, settings=settings(1.0, aim_s=0.9))
