--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -43,11 +43,11 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Config) -> None:
         self._loop = loop
         self._config = config
-        clients = int((config.sockets - RESERVED_SOCKETS) * CLIENT_SOCKET_SHARE)
-        servers = config.sockets - RESERVED_SOCKETS - clients
-        self.backends = Backends(loop, config.settings, config.idle_ns, servers)
+        client_sockets = int((config.sockets - RESERVED_SOCKETS) * CLIENT_SOCKET_SHARE)
+        server_sockets = config.sockets - RESERVED_SOCKETS - client_sockets
+        self.backends = Backends(loop, config.settings, config.idle_ns, server_sockets)
         self.runtime = Runtime(loop, config, self.backends)
-        self.frontend = Frontend(loop, self.runtime, config.settings, clients)
+        self.frontend = Frontend(loop, self.runtime, config.settings, client_sockets)
         self._watch_task: asyncio.Task[None] | None = None
         self._accept_task: asyncio.Task[None] | None = None
 
--- a/gingerworks/gateway/arrival_times.py
+++ b/gingerworks/gateway/arrival_times.py
@@ -71,8 +71,8 @@
     def end_read(self, emptied: bool) -> ArrivalTimes:
         """The arrival times of this read's data; ``emptied`` says that it took all that was unread."""
         now = clock.now()
-        age = last_data_age_ns(self._socket)
-        latest_ns = now if age is None else min(now, max(now - age, self._empty_at_ns))
+        age_ns = last_data_age_ns(self._socket)
+        latest_ns = now if age_ns is None else min(now, max(now - age_ns, self._empty_at_ns))
         # If several messages came in during a pause, the kernel knows only the age of the last one.
         earliest_ns = self._empty_at_ns if self._paused else latest_ns
         if emptied:
--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -160,7 +160,7 @@
         return self.on_writable()
 
     def on_writable(self) -> None:
-        """Write as much of the request as the kernel accepts; it may run once its last byte is written."""
+        """Write as much of the request as the kernel accepts; a server may run it once all is written."""
         assert self.socket is not None
         try:
             self.unsent = self.unsent[self.socket.send(self.unsent) :]
@@ -244,7 +244,7 @@
     def on_message_begin(self) -> None:
         """Parser's callback."""
         if self.answer_complete:
-            self.keep_alive = False  # there is data behind the answer
+            self.keep_alive = False  # further data follows the complete answer
             return
         self.answer_begun, self.framed = True, False
 
@@ -256,9 +256,8 @@
         name, value, answer = name.lower(), value.rstrip(number_parsing.OPTIONAL_WHITESPACE), self.answer
         self.framed = self.framed or name in FRAMING_HEADERS
         if name == b"content-length" and int(value) > MAX_BODY_BYTES:
-            raise InvalidAnswer(
-                f"a body of {value.decode()} bytes is too long"
-            )  # raised before the body comes
+            # The answer is rejected before its body is read.
+            raise InvalidAnswer(f"a body of {value.decode()} bytes is too long")
         if name in ANSWER_HEADERS_FOR_CLIENT:
             answer.headers.append((name, value))
         elif name == b"x-unprocessed":
@@ -334,9 +333,9 @@
                 self._endpoints.pop(server.name, None)
                 self.close_idle(server.name)
                 continue
-            before = self._endpoints.get(server.name)
+            previous = self._endpoints.get(server.name)
             self._endpoints[server.name] = endpoint
-            if before is None or _process(before) != _process(endpoint):
+            if previous is None or _process_identity(previous) != _process_identity(endpoint):
                 self.close_idle(server.name)
 
     def servers(self) -> Iterable[interface.Server]:
@@ -345,11 +344,11 @@
 
     def accepts_work(self, endpoint: Endpoint) -> bool:
         """Whether this process is, as far as is known, still running and ready for new requests."""
-        now = self._endpoints.get(endpoint.server.name)
+        current = self._endpoints.get(endpoint.server.name)
         return (
-            now is not None
-            and now.server.phase is interface.Phase.READY
-            and _process(now) == _process(endpoint)
+            current is not None
+            and current.server.phase is interface.Phase.READY
+            and _process_identity(current) == _process_identity(endpoint)
         )
 
     def start(self, attempt: Attempt) -> None:
@@ -470,8 +469,8 @@
         now = clock.now()
         idle = self._idle.get(server, [])
         limit_ns = min(self._max_idle_ns, self._idle_limit.limit_ns() or self._max_idle_ns)
-        # A stray second answer to the last request has arrived by the time that a connection has been idle
-        # for this minimum, and the read below finds it.
+        # A stray second answer to the last request arrives within MIN_IDLE_BEFORE_REUSE_NS; the call of
+        # recv() below finds it.
         for connection in [c for c in reversed(idle) if now - c.idle_since_ns >= MIN_IDLE_BEFORE_REUSE_NS]:
             idle.remove(connection)
             assert connection.socket is not None
@@ -544,9 +543,11 @@
         for connection in connections:
             if now - connection.idle_since_ns >= self._max_idle_ns:
                 self.close_connection(connection)
-        oldest = min((c.idle_since_ns for c in connections if c.socket is not None), default=None)
-        if oldest is not None:
-            delay_ns = max(clock.NS_PER_MS, oldest + self._max_idle_ns - now)
+        first_idle_since_ns = min(
+            (c.idle_since_ns for c in connections if c.socket is not None), default=None
+        )
+        if first_idle_since_ns is not None:
+            delay_ns = max(clock.NS_PER_MS, first_idle_since_ns + self._max_idle_ns - now)
             self._idle_timer = self.loop.call_later(delay_ns / clock.NS_PER_S, self._close_expired_idle)
 
     def _close_oldest_idle(self) -> bool:
@@ -559,7 +560,7 @@
         return True
 
 
-def _process(endpoint: Endpoint) -> tuple[object, int]:
+def _process_identity(endpoint: Endpoint) -> tuple[object, int]:
     """Identify the process behind an entry: a restart or a move to another address makes a new one."""
     return endpoint.address, endpoint.server.started_ns
 
--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -139,9 +139,10 @@
             and len(self.pending) > pending_before
             and self.pending[-1] is self.message
         ):
-            self.message.arrived_at_ns = arrival.latest_ns  # its last byte is the last one received
+            # The last byte received is the last one of this request.
+            self.message.arrived_at_ns = arrival.latest_ns
         # The parser buffers an incomplete header field or chunk size without calling back, so its callbacks
-        # can't bound the size of an endless one.
+        # can't bound the size of an endless header field.
         if self.receiving and self.messages_begun == between_messages:
             self.incomplete_bytes += nbytes
             if self.incomplete_bytes > (MAX_HEAD_BYTES if self.receiving_head else MAX_MESSAGE_BYTES):
@@ -296,8 +297,10 @@
             self._release_held_body()
         if self.transport is None:
             return
-        last = self.reading_stopped and not self.pending  # no request is pending and none will be read
-        keep = self.keep_alive and not last and not (self.owner.shutting_down and self._is_last_answer())
+        is_last = self.reading_stopped and not self.pending  # no request is pending and none will be read
+        keep_open = (
+            self.keep_alive and not is_last and not (self.owner.shutting_down and self._is_last_answer())
+        )
         self.transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n%b%b\r\n%b"
             % (
@@ -305,11 +308,11 @@
                 REASON_PHRASES[status],
                 len(body),
                 headers,
-                b"" if keep else b"Connection: close\r\n",
+                b"" if keep_open else b"Connection: close\r\n",
                 body,
             )
         )
-        if keep:
+        if keep_open:
             if not self.pending:
                 self.owner.connection_idle(self)
             return
--- a/gingerworks/gateway/discovery.py
+++ b/gingerworks/gateway/discovery.py
@@ -151,8 +151,12 @@
             - without_strings.count(b"}")
             - without_strings.count(b"]")
         )
-        first = line.lstrip().startswith(b"{")
-        if not first if not self._lines else first and depth_change == 0 and b'"endpoints"' in line:
+        begins_object = line.lstrip().startswith(b"{")
+        if (
+            not begins_object
+            if not self._lines
+            else begins_object and depth_change == 0 and b'"endpoints"' in line
+        ):
             raise ValueError("not a line of a JSON object")
         self._lines.append(line)
         self._size += len(line)
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -60,7 +60,7 @@
         self.head_bytes = 0
         self.body = b""
         self.keep_alive = True
-        self.arrived_at_ns = 0  # the earliest time at which its last byte can have come
+        self.arrived_at_ns = 0  # the earliest time at which the request's last byte can have come
 
     def count_head_bytes(self, size: int) -> None:
         """Count bytes of the head; rejects the request if they are too many."""
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -80,7 +80,7 @@
         self.awaits_answer = True  # until it has its final answer or the client has disconnected
         self.attempts: list[Attempt | None] = []  # by attempt number; None for each that has ended
         self.open_attempts = 0
-        self.may_have_run = False  # whether one of its attempts may have run on a server
+        self.may_have_run = False  # whether an attempt of this request may have run on a server
         self.deadline_ns = deadline_ns  # the client's deadline, or the shutdown's if sooner
 
     def remaining_ns(self) -> int:
@@ -291,7 +291,7 @@
     def _start_attempt(self, action: interface.Assign) -> None:
         inflight = self._in_flight.get(action.id)
         if inflight is None:
-            return None  # failed after an error; the policy was informed that it is cancelled
+            return None  # the request failed after an error, and the policy knows that it is cancelled
         attempt_number = len(inflight.attempts)
 
         def may_start() -> bool:
--- a/gingerworks/gateway/server_starts.py
+++ b/gingerworks/gateway/server_starts.py
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self._listed: dict[str, Start] = {}
         self._unlisted: dict[str, Start] = {}  # servers that left the list; they may return without a restart
-        self._discovery_answered = False  # if so, new starts happened while this gateway ran
+        self._discovery_answered = False  # once true, a new start happened while this gateway ran
         self._new_stated_ns: list[int] = []  # stated times of the starts that are new in the current list
         self.clock_check = ClockCheck()
 
@@ -64,9 +64,9 @@
 
     def _find_start(self, server: interface.Server, now: int) -> Start:
         stated_ns = server.started_ns
-        known = self._listed.get(server.name) or self._unlisted.pop(server.name, None)
-        if known is not None and stated_ns in (0, known.stated_ns):
-            return known  # "long ago" says nothing new about a start that is known
+        known_start = self._listed.get(server.name) or self._unlisted.pop(server.name, None)
+        if known_start is not None and stated_ns in (0, known_start.stated_ns):
+            return known_start  # "long ago" says nothing new about a start that is known
         if stated_ns == 0:
             return Start(0, 0)
         if not self._discovery_answered:
