--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -37,7 +37,7 @@
 
 
 class Status(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a probe or a counter call ended; ``DELIVERED`` means that an answer was received."""
 
     DELIVERED = "served"
     ERROR = "the server failed; it may have run"
@@ -80,8 +80,8 @@
     dedup_group: DedupGroup  # for keyed requests: the servers that drop repeats of one another's requests
     dedup_window_ns: int  # for keyed requests: how long after the first run repeats are dropped
     aim_ns: int  # an answer within this time is worth the most
-    deadline_ns: int
-    worth: float  # of an answer; multiplied by the plan's price and the request's units
+    deadline_ns: int  # longest time allowed for an answer
+    worth: float  # worth of an answer, before it is multiplied by the plan's price and the request's units
     late_worth: float
     aim_stretch: float = 0.0
 
@@ -99,7 +99,7 @@
     rate: float
     burst: float
     max_out: int
-    price: float
+    price: float  # factor of the worth of each answer to a customer of this plan
     excess_worth: float  # worth of a request served beyond the quota, as a multiple of its worth within it
     overrun_cost: float  # cost of a request served beyond the quota, as a multiple of its worth within it
     ceiling_rate: float
@@ -126,12 +126,12 @@
 class Limits:
     """What the deployment allows.  ``probes`` and ``max_open`` are not used by any decision."""
 
-    max_attempts: int  # for each request
-    hedging: bool  # a request may have two attempts in flight
-    may_cancel: bool  # an attempt may be cancelled
+    max_attempts: int  # most attempts for one request
+    hedging: bool  # whether a request may have two attempts in flight
+    may_cancel: bool  # whether an attempt may be cancelled
     probes: bool
-    may_send_retry_after: bool  # a refusal may tell the client when to try again
-    max_retry_after_ns: int
+    may_send_retry_after: bool  # whether a refusal may tell the client when to try again
+    max_retry_after_ns: int  # longest delay that a refusal may ask of the client
     max_open: int
     connect_timeout_ns: int = 250_000_000
 
@@ -144,18 +144,18 @@
     by any decision.
     """
 
-    me: int  # index of this gateway
-    gateways: int  # how many there are
-    zone: str  # of this gateway
+    me: int  # index of this gateway among all gateways, from 0
+    gateways: int  # number of gateways
+    zone: str  # zone of this gateway
     tick_ns: int  # resolution of the caller's timers
-    discovery_on_request: bool  # the server list comes only after a ``Watch`` action
-    report_names: tuple[str, ...]  # values to take from the load reports of servers
+    discovery_on_request: bool  # if so, the server list comes only after a ``Watch`` action
+    report_names: tuple[str, ...]  # names of the values to take from the load reports of servers
     probe_reports: bool
     has_counter: bool
     counter_wait_ns: int  # longest wait for an answer of the shared counter
     counter_price: float
     meter_ns: int
-    max_units: float  # of one request
+    max_units: float  # limit on the quota units of one request, as sent by the client or billed by a server
     cost_after: bool
     price_probe: float
     price_cross_zone: float
@@ -212,8 +212,8 @@
     name: str
     phase: Phase
     zone: str = ""
-    cell: int = 0  # group of servers within the zone
-    started_ns: int = 0  # 0 if it is not stated or long ago: the server counts as warm
+    cell: int = 0  # number of the group of servers within the zone
+    started_ns: int = 0  # start of the process; 0 if unknown or long ago, so that the server counts as warm
     size: float = 1.0  # relative capacity; not used by any decision
 
 
@@ -239,7 +239,7 @@
     customer: str
     entries: int  # how many gateways this customer's requests are spread over
     ttl_ns: int
-    units: float  # that it takes from the quota
+    units: float  # units that the request takes from the customer's quota
     is_retry: bool = False  # the client retries an earlier request
 
 
@@ -247,7 +247,7 @@
 class Started:
     """The answer to a request has begun to stream, so its deadline no longer applies.
 
-    One for an unknown id is ignored.
+    The event is ignored if the id is unknown.
     """
 
     id: int
@@ -256,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended.  One for an attempt that is not in flight is ignored.
+    """How an attempt ended.  The event is ignored if the attempt is not in flight.
 
     ``used_percent`` and ``report`` are not used by any decision.
     """
@@ -265,15 +265,15 @@
     attempt: int
     status: Status
     elapsed_ns: int
-    terminal: bool  # the request has its final answer by this outcome
+    terminal: bool  # whether this outcome gave the request its final answer
     used_percent: float | None = None
-    billed_units: float | None = None  # in place of ``Request.units``, where the server says so
+    billed_units: float | None = None  # units that the server billed in place of ``Request.units``, if any
     report: tuple[tuple[str, float], ...] = ()  # the server's load report: names and values
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client has left, so the request needs no answer any more.  One for an unknown id is ignored."""
+    """The client has left, so the request needs no answer any more.  Ignored if the id is unknown."""
 
     id: int
 
@@ -304,11 +304,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Counted:
-    """Answer to one ``Count``; each gets exactly one.  One for a name without a call in flight is ignored."""
+    """Answer to one ``Count``, which gets exactly one.  Ignored if no call for the name is in flight."""
 
     name: int
     status: Status
-    total: float  # after the amount was added; 0 without an answer
+    total: float  # the shared count after the amount was added; 0 if the counter gave no answer
     elapsed_ns: int
 
 
@@ -377,7 +377,7 @@
     """Add an amount to a shared count; a ``Counted`` event brings the total."""
 
     name: int
-    amount: float  # 0 only reads
+    amount: float  # with 0 the count is only read
     ttl_ns: int  # lifetime of the count, if this call creates it
 
 
--- a/gingerworks/policy/gap_counter.py
+++ b/gingerworks/policy/gap_counter.py
@@ -1,8 +1,8 @@
 """Turner and Key's call gapping counter: a rate limiter that works like a token bucket refilled in steps.
 
-It limits customers' use by quotas and ceilings, the slow start of servers, further attempts by the retry
-budget, and speculative admission.  Amounts are in the unit of what is limited, such as units of use, requests
-or attempts.
+It limits customers' use (quotas and ceilings), the requests sent to cold servers (slow start), retries and
+hedges (retry budget), and speculative admission.  Amounts are in the unit of what is limited, such as units
+of use, requests or attempts.
 """
 
 from __future__ import annotations
@@ -11,12 +11,15 @@
 
 from gingerworks.policy.constants import EPSILON
 
-INTERVALS_TO_FULL = 40  # the N that the paper recommends, counted in increments m (its Table 1)
+# Intervals that refill an empty counter: the cap N that Turner and Key recommend (Table 1 of their paper),
+# counted in increments m.
+INTERVALS_TO_FULL = 40
 
 
 class GapCounter:
-    """The COUNTER of the paper: ``m`` is added in each interval, up to ``cap``, which is its N; equation (6).
+    """The COUNTER of Turner and Key's paper.
 
+    ``m`` is added in each interval, up to ``cap``, which is the N of the paper's equation (6).
     The paper's interval T is m divided by the rate of refill.  Here ``phase`` is the part of the running
     interval that has passed, so it stays valid when the rate changes, and one long refill does exactly what
     many short ones do.  ``level`` is the allowance left.
@@ -29,7 +32,7 @@
         self.phase = phase
 
     def refill(self, amount: float) -> None:
-        """Advance by the time in which the rate of refill brings this amount."""
+        """Let the time pass in which this amount is refilled; the level grows by whole increments ``m``."""
         self.phase += amount / self.m
         intervals = math.floor(self.phase)
         self.phase -= intervals
@@ -41,10 +44,10 @@
         self.cap = cap
         self.m = cap / INTERVALS_TO_FULL
 
-    def covers(self, units: float) -> bool:
-        """Whether the allowance covers a request in full."""
-        return self.level >= units - EPSILON
+    def covers(self, amount: float) -> bool:
+        """Whether the level is at least this amount, apart from rounding; nothing is taken from it."""
+        return self.level >= amount - EPSILON
 
     def adjust(self, amount: float) -> None:
-        """Give back allowance, or take it if the amount is below 0."""
+        """Add an amount to the level, up to the cap; a negative amount uses up allowance."""
         self.level = min(self.cap, self.level + amount)
--- a/gingerworks/policy/in_flight.py
+++ b/gingerworks/policy/in_flight.py
@@ -12,7 +12,7 @@
 from gingerworks.policy.servers import Backend
 from gingerworks.policy.speculative_admission import UncertainRequest
 
-# The type of a request's customer, which is ``customer.Customer``: that module imports this one.
+# Stands for ``customer.Customer``, which cannot be imported: its module imports this one.
 CustomerT = TypeVar("CustomerT")
 
 
@@ -23,8 +23,8 @@
         self.backend = backend
         self.sent_ns = now
         self.in_flight = True
-        self.counts_as_load = True  # until it is overdue
-        self.may_have_run = True  # until an outcome proves that it did not
+        self.counts_as_load = True  # load shedding ignores an attempt once it is overdue
+        self.may_have_run = True  # false once the attempt's outcome proves that the server did not run it
 
 
 class InFlightRequest(Generic[CustomerT]):
@@ -43,7 +43,9 @@
         self.deadline_ns = now + request.ttl_ns
         self.attempts: list[Attempt] = []
         self.closed = self.streaming = False
-        self.uncertainty: UncertainRequest | None = None  # what was known of its quota, if that was uncertain
+        # Set if the allowance known to this gateway did not cover the request, so that a reading of the
+        # customer's shared count was considered.
+        self.uncertainty: UncertainRequest | None = None
 
     def attempts_in_flight(self) -> int:
         """The number of attempts without an outcome."""
@@ -60,11 +62,11 @@
         )
 
     def allows_attempt_on(self, backend: Backend, arrives_by_ns: int) -> bool:
-        """Whether an attempt that arrives at this server by then is certain to cause no second effect.
+        """Whether an attempt on this server, arriving by ``arrives_by_ns``, surely causes no second effect.
 
-        It is if the request is safe to repeat, or if no attempt may have run yet.  A keyed request may also
-        be repeated within its window, counted from the first attempt that may have run, on the servers that
-        drop repeats of what that attempt's server has run.
+        That is so if the request is safe to repeat, or if no attempt may have run yet.  A keyed request may
+        also be repeated within its deduplication window, counted from the first attempt that may have run, on
+        the servers that drop repeats of what that attempt's server has run.
         """
         first = next((attempt for attempt in self.attempts if attempt.may_have_run), None)
         if first is None or self.request_class.effect is interface.Effect.SAFE:
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -19,14 +19,20 @@
 from gingerworks import interface
 from gingerworks.policy.constants import SECOND, TARGET_AIM_FRACTIONS
 
-LOAD_MEMORY_NS = 3 * SECOND  # over which load is remembered: several answers at a gateway of few requests
-# Answers in the target time that are assumed in addition to those seen.  With so many, the load ratio varies
-# by a tenth at random if the work of requests varies by as much as its mean.
+# Time over which load is remembered: long enough for several answers at a gateway that gets few requests.
+LOAD_MEMORY_NS = 3 * SECOND
+# Number of answers in the target time that are assumed in addition to those seen.  With so many, the load
+# ratio varies by a tenth at random if the work of requests varies by as much as its mean.
 PRIOR_ANSWERS = 40.0
-LOAD_RATIO_TOLERANCE = 1.1  # random variation without overload reaches about this ratio, given the prior
-# A ratio a tenth above the tolerance refuses half of the requests of middle rank: queues cost the most.
+# Requests are shed only at load ratios above this.  Without overload, random variation reaches about this
+# ratio, given the PRIOR_ANSWERS.
+LOAD_RATIO_TOLERANCE = 1.1
+# Exponent that sets how steeply shedding grows with the load ratio.  A tenth above LOAD_RATIO_TOLERANCE, half
+# of the requests of middle rank are refused: it is steep because queues cost the most.
 SHED_EXPONENT = 12.0
-OFFER_MEMORY = 0.99  # of offered work and worth, kept at each request: the ranks rest on about a hundred
+# Fraction of the recorded work and worth that is kept at each new request, so that requests are ranked among
+# about the last hundred.
+OFFER_MEMORY = 0.99
 
 
 class LoadShedder:
@@ -35,8 +41,8 @@
     def __init__(self, settings: interface.Settings, now: int) -> None:
         self.attempts_in_flight = 0
         self.time_in_flight_ns = self.time_allowed_ns = 0.0
-        # Added to both times: otherwise a gateway with few requests, as each has in a large fleet, would take
-        # random variation for overload.
+        # Added to the time in flight and to the time allowed: otherwise a gateway with few requests, as each
+        # has in a large fleet, would take random variation for overload.
         self.prior_ns = (
             PRIOR_ANSWERS
             * TARGET_AIM_FRACTIONS[0]
@@ -49,7 +55,7 @@
         }
 
     def adjust_in_flight(self, change: int, now: int) -> None:
-        """Add the time since the last call, and change the number of attempts in flight from now on."""
+        """Account for the time since the last call, then change the number of attempts in flight."""
         elapsed = now - self.updated_ns
         fade = math.exp(-elapsed / LOAD_MEMORY_NS)
         self.time_in_flight_ns = self.time_in_flight_ns * fade + self.attempts_in_flight * elapsed
@@ -58,14 +64,14 @@
         self.attempts_in_flight += change
 
     def load_ratio(self, now: int) -> float:
-        """Time in flight divided by the time allowed; above 1 the servers are overloaded."""
+        """Attempts' time in flight divided by the time allowed for answers; above 1 means overload."""
         self.adjust_in_flight(0, now)
         return (self.time_in_flight_ns + self.prior_ns) / (self.time_allowed_ns + self.prior_ns)
 
     def pass_probability(
         self, request_class: interface.RequestClass, plan: interface.Plan, units: float, work: float, now: int
     ) -> float:
-        """Record a request; the probability with which it may pass, least for the least worth per work.
+        """Record a request and return the probability of not shedding it, least for the least worth per work.
 
         ``work`` is the mean answer time of its class, as a measure of the work that it causes.
         """
