--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -142,7 +142,7 @@
             # The last byte received is the last one of this request.
             self.message.arrived_at_ns = arrival.latest_ns
         # The parser buffers an incomplete header field or chunk size without calling back, so its callbacks
-        # can't bound the size of an endless header field.
+        # can't bound the length of an endless field or chunk size.
         if self.receiving and self.messages_begun == between_messages:
             self.incomplete_bytes += nbytes
             if self.incomplete_bytes > (MAX_HEAD_BYTES if self.receiving_head else MAX_MESSAGE_BYTES):
