--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -30,7 +30,7 @@
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.in_flight import InFlightRequest
-from gingerworks.policy.speculative_admission import BUSY_DEMAND, Headroom, PassRate, headroom_of
+from gingerworks.policy.speculative_admission import BUSY_DEMAND_FRACTION, Headroom, PassRate, headroom_of
 
 # A shared count is corrected if it shows more refill beyond a full store than this fraction of the burst.
 TOLERATED_SURPLUS = 0.25
@@ -76,7 +76,7 @@
     """One customer's allowances at this gateway, and what is known of its shared count."""
 
     def __init__(self, request: interface.Request, context: CustomerContext, now: int) -> None:
-        entries, settings = max(1, request.entries), context.settings
+        gateways, settings = max(1, request.entries), context.settings
         self.clock = context.clock
         self.key = f"{request.customer} {request.plan}"
         self.plan = plan = context.plans[request.plan]
@@ -86,7 +86,7 @@
         cap = max(plan.burst, settings.max_units)
         # A customer that is seen for the first time may certainly use its even share of the burst; the first
         # reading of the shared count shows what else is left.
-        self.even_burst = cap / entries
+        self.even_burst = cap / gateways
         initial = self.even_burst if settings.has_counter else max(self.even_burst, settings.max_units)
         # Estimate of the units that the quota's store holds, refilled at this gateway's share of the rate.
         # Each reading of the shared count replaces it.
@@ -106,7 +106,7 @@
         reservable = (
             burst
             - CEILING_TOLERATED_SURPLUS * plan.burst
-            - MIN_CEILING_PART_REQUESTS * settings.max_units * entries
+            - MIN_CEILING_PART_REQUESTS * settings.max_units * gateways
         )
         reserved = min(1.0, max(MIN_RESERVED_FRACTION, reservable / max(plan.burst, EPSILON)))
         rest = burst - (reserved + CEILING_TOLERATED_SURPLUS) * plan.burst, rate - reserved * plan.rate
@@ -117,14 +117,14 @@
             )
         self.correction_settle_ns = CORRECTION_SETTLE_WAITS * settings.counter_wait_ns
         self.may_use_ceiling_reserve = False  # as the last reading of the shared count decided
-        self.ceiling_even_rate = rate / entries
+        self.ceiling_even_rate = rate / gateways
         if plan.ceiling_rate > 0:
             # The part starts empty: what this gateway admitted before a restart is not known.
             self.ceiling_allowance = GapCounter(
-                (burst + CEILING_SLACK_USED * plan.ceiling_slack) / entries, 0.0, 0.0
+                (burst + CEILING_SLACK_USED * plan.ceiling_slack) / gateways, 0.0, 0.0
             )
             self.ceiling_allowance.refill(self.ceiling_even_rate * (now - context.started_ns) / SECOND)
-        self.even_rate = plan.rate / entries
+        self.even_rate = plan.rate / gateways
         # This gateway's share of the quota, which readings do not replace: for requests that no reading is
         # taken for.  A share that is smaller than a request is saved up until it covers one.
         self.share_allowance = GapCounter(cap, self.even_burst, 0.0)
@@ -148,13 +148,14 @@
         # Exhausted: the store did not cover the last request that a reading was taken for.
         self.report_scheduled = self.exhausted = False
         self.counter_answered = True  # whether the counter answered this customer's last call
-        self.waiting: list[InFlightRequest[Customer]] = []  # requests that the next call takes a reading for
+        # Requests that the next call takes a reading for.
+        self.waiting_requests: list[InFlightRequest[Customer]] = []
         self.pending_call: CounterCall | None = None
 
     def share_rate(self, now: int) -> float:
         """This gateway's share of the rate: the even share and what others left by a recent reading."""
-        stale = (now - self.read_at_ns) / REPORT_PERIOD_NS - READING_TRUST_PERIODS
-        trust = 1.0 if stale <= 0 else math.exp(-stale / READING_TRUST_PERIODS)
+        stale_periods = (now - self.read_at_ns) / REPORT_PERIOD_NS - READING_TRUST_PERIODS
+        trust = 1.0 if stale_periods <= 0 else math.exp(-stale_periods / READING_TRUST_PERIODS)
         return self.even_rate + trust * max(0.0, self.plan.rate - self.others_rate - self.even_rate)
 
     def refill_allowances(self, now: int) -> None:
@@ -187,8 +188,10 @@
     def record_sent(self, units: float, now: int) -> None:
         """Record units of a request sent to a server; units beyond a store's burst take nothing from it."""
         self.share_allowance.level = max(-self.even_burst, self.share_allowance.level - units)
-        least = self.min_own_deficit(now)
-        self.own_deficit = least + units if least + units <= self.allowance.cap + EPSILON else least
+        least_deficit = self.min_own_deficit(now)
+        self.own_deficit = (
+            least_deficit + units if least_deficit + units <= self.allowance.cap + EPSILON else least_deficit
+        )
         self.own_deficit_at_ns = now
 
     def certainly_exceeds(self, units: float, now: int) -> bool:
@@ -197,10 +200,10 @@
 
     def record_demand(self, units: float, now: int) -> bool:
         """Record requested units; returns whether many were requested within about the last full refill."""
-        fades = self.plan.rate * (now - self.demand_at_ns) / SECOND / self.allowance.cap
-        before = self.demand * math.exp(-fades)
-        self.demand, self.demand_at_ns = before + units, now
-        return before >= BUSY_DEMAND * self.allowance.cap
+        full_refills = self.plan.rate * (now - self.demand_at_ns) / SECOND / self.allowance.cap
+        earlier_demand = self.demand * math.exp(-full_refills)
+        self.demand, self.demand_at_ns = earlier_demand + units, now
+        return earlier_demand >= BUSY_DEMAND_FRACTION * self.allowance.cap
 
     def headroom(self, units: float, busy: bool) -> Headroom:
         """What is known of the units left in the store for a request that the share does not cover."""
@@ -268,10 +271,10 @@
         that lost its counts makes the store look unused, and use beyond an empty store is added to the count
         although it takes nothing from the store.
         """
-        least = self.min_deficit(now)
+        least_deficit = self.min_deficit(now)
         if deficit <= (1 + TOLERATED_OVERUSE) * self.allowance.cap:
             self.overuse_since_ns = None
-            return least - deficit if deficit < least - self.tolerated_surplus else 0.0
+            return least_deficit - deficit if deficit < least_deficit - self.tolerated_surplus else 0.0
         # Use beyond an empty store is corrected only if it lasts: it may be the corrections that several
         # gateways have made of one fault, and all but one of these are about to be undone.
         if self.overuse_since_ns is None:
@@ -291,16 +294,20 @@
         deficit_before = total - (call.amount - call.reported - call.correction + reported) - refilled
         unreported, correction = max(0.0, self.unreported), self.count_correction_for(deficit_before, now)
         self.count_correction_due, self.deficit_before_correction = correction, deficit_before
-        corrected = self.allowance.cap if self.overuse_since_ns is not None else deficit_before + correction
-        deficit = max(self.min_deficit(now), corrected) + reported
+        corrected_deficit = (
+            self.allowance.cap if self.overuse_since_ns is not None else deficit_before + correction
+        )
+        deficit = max(self.min_deficit(now), corrected_deficit) + reported
         seconds = max(EPSILON, (now - self.read_at_ns) / SECOND)
-        elsewhere = min(
+        others_rate_since = min(
             self.plan.rate, max(0.0, self.plan.rate + (deficit - reported - self.deficit) / seconds)
         )
-        self.others_rate += (elsewhere - self.others_rate) * seconds / (seconds + REPORT_PERIOD_NS / SECOND)
+        self.others_rate += (
+            (others_rate_since - self.others_rate) * seconds / (seconds + REPORT_PERIOD_NS / SECOND)
+        )
         self.allowance.level = self.allowance.cap - deficit - unreported
         decisions = []
-        for inflight, booked in call.held:
+        for inflight, booked in call.held_requests:
             covered = deficit + inflight.request.units <= self.allowance.cap + EPSILON
             self.exhausted = not covered
             if covered and not inflight.closed:
@@ -353,8 +360,10 @@
         self.count_began_ns = count_began_ns
         self.reported = customer.unreported
         self.correction, self.deficit_before_correction = correction, customer.deficit_before_correction
-        self.held = [(inflight, self._booked_units(inflight)) for inflight in customer.waiting]
-        self.amount = self.reported + self.correction + sum(booked for _, booked in self.held)
+        self.held_requests = [
+            (inflight, self._booked_units(inflight)) for inflight in customer.waiting_requests
+        ]
+        self.amount = self.reported + self.correction + sum(booked for _, booked in self.held_requests)
 
     @staticmethod
     def _booked_units(inflight: InFlightRequest[Customer]) -> float:
@@ -364,4 +373,4 @@
     @property
     def books_later(self) -> bool:
         """Whether the call holds a request whose units are booked only after the reading has admitted it."""
-        return any(booked == 0.0 for _, booked in self.held)
+        return any(booked == 0.0 for _, booked in self.held_requests)
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -163,7 +163,7 @@
             return self.decline(inflight, self.settings.limits.max_retry_after_ns)
         self._schedule_end(inflight)
         if in_quota is None:
-            customer.waiting.append(inflight)
+            customer.waiting_requests.append(inflight)
             self._call_counter(customer)
             return None
         self.admit(inflight, units if in_quota else 0.0)
@@ -231,7 +231,7 @@
         is_urgent = is_urgent or (customer.unreported > 0 and call.books_later)
         if customer.counter_answered:
             self.actions += self.quotas.start_count_correction(customer, self.now)
-        if customer.waiting or (customer.counter_answered and is_urgent):
+        if customer.waiting_requests or (customer.counter_answered and is_urgent):
             self._call_counter(customer)
         elif customer.unreported > 0 or (customer.counter_answered and customer.unreported < 0):
             self.schedule_report(customer)
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -26,7 +26,7 @@
 # more, is reported at once, as the other gateways admit requests from the same store.
 URGENT_REPORT_FRACTION = 0.25
 # Use admitted by estimates is reported by a call of its own once this fraction of the burst is unreported.
-MAX_UNREPORTED = 0.5
+MAX_UNREPORTED_FRACTION = 0.5
 # The counter is taken to be out of service after this time without an answer.
 COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS
 
@@ -136,7 +136,10 @@
     def record_unreported(self, customer: Customer, units: float) -> bool:
         """Record an admitted request's use; returns whether to plan a call that reports it."""
         customer.unreported += units
-        return units <= customer.even_burst or customer.unreported > MAX_UNREPORTED * customer.allowance.cap
+        return (
+            units <= customer.even_burst
+            or customer.unreported > MAX_UNREPORTED_FRACTION * customer.allowance.cap
+        )
 
     def schedule_report(self, customer: Customer, now: int) -> int | None:
         """When to report this customer's use; ``None`` if no report is needed, or one is planned already.
@@ -164,13 +167,15 @@
         # calls would be called again and again for ever more customers that were seen once.
         if (now - customer.last_request_at_ns) * customer.plan.rate > customer.allowance.cap * SECOND:
             customer.unreported = min(0.0, customer.unreported)
-        if customer.pending_call is not None or not (customer.waiting or customer.unreported or correction):
+        if customer.pending_call is not None or not (
+            customer.waiting_requests or customer.unreported or correction
+        ):
             return []
         name, began_ns = customer.count_name(now)
         call = customer.pending_call = self.calls[name] = CounterCall(
             customer, began_ns, correction, self.clock.agrees(now)
         )
-        customer.unreported, customer.waiting = 0.0, []
+        customer.unreported, customer.waiting_requests = 0.0, []
         return [interface.Count(name, call.amount, COUNT_TTL_NS)]
 
     def start_count_correction(self, customer: Customer, now: int) -> list[interface.Count]:
@@ -216,7 +221,7 @@
         if answer.status.never_ran:
             customer.unreported += call.reported
         decisions = []
-        for inflight, booked in call.held:
+        for inflight, booked in call.held_requests:
             units = inflight.request.units
             covered = customer.covers_without_reading(units) and customer.ceiling_part_covers(units)
             booked_anyway = 0.0 if answer.status.never_ran else booked
--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -29,7 +29,9 @@
 # narrower group, such as one customer.
 PRIOR_READINGS = 2.0
 START_CHANCE = 0.75  # estimated chance that the very first reading admits its request: quotas start unused
-BUSY_DEMAND = 0.25  # a customer counts as busy if it lately requested at least this fraction of its burst
+# A customer for whom no reading has been taken counts as busy if it lately requested at least this
+# fraction of its burst.
+BUSY_DEMAND_FRACTION = 0.25
 SCANT_HEADROOM = 0.25  # headroom is scant if less than this fraction of the burst is left after a request
 AMPLE_HEADROOM = 0.6  # headroom is ample if at least this fraction of the burst is left after a request
 # Speculative overruns may be expected to cost this fraction of the worth of all requests sent to servers.
@@ -50,13 +52,13 @@
     BEYOND_PART = "enough in the quota, but not in this gateway's part of the ceiling"
 
 
-def headroom_of(left: float) -> Headroom:
+def headroom_of(fraction_left: float) -> Headroom:
     """The headroom of a request that leaves this fraction of the burst unused; below 0, it lacks units."""
-    if left < 0:
+    if fraction_left < 0:
         return Headroom.NONE
-    if left < SCANT_HEADROOM:
+    if fraction_left < SCANT_HEADROOM:
         return Headroom.SCANT
-    return Headroom.SOME if left < AMPLE_HEADROOM else Headroom.AMPLE
+    return Headroom.SOME if fraction_left < AMPLE_HEADROOM else Headroom.AMPLE
 
 
 class PassRate:
@@ -69,7 +71,7 @@
     def estimate(self, prior: float) -> float:
         """The estimated chance that a reading admits a request.
 
-        ``prior`` is the estimate from a wider group of readings, which counts the more, the fewer there are.
+        ``prior`` is the estimate from a wider group of readings, which matters most while there are few here.
         """
         return (self.passed + PRIOR_READINGS * prior) / (self.readings + PRIOR_READINGS)
 
