--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -170,11 +170,12 @@
         return min(requests / max(1.0, total_capacity), max_requests_per_s * elapsed / SECOND)
 
     def choose(
-        self, now: int, mean: float, allowed: Iterable[Backend], tried: Sequence[str]
+        self, now: int, class_mean_ns: float, allowed: Iterable[Backend], tried_servers: Sequence[str]
     ) -> Backend | None:
         """The server with the shortest expected answer time, or none if no allowed one can take an attempt.
 
-        ``mean`` is the mean answer time of the request's class, ``tried`` names the servers of its attempts.
+        ``class_mean_ns`` is the mean answer time of the request's class, ``tried_servers`` names the
+        servers of its earlier attempts.
         """
         self.unallotted_requests += 1.0
         self.refill_slow_starts(now)
@@ -182,21 +183,23 @@
         admissible = [b for b in ready if b.capacity_share >= 1.0 or b.slow_start.covers(1.0)]
         # Servers that accept no connection are left out while there is any other, however many they are.
         reachable = [b for b in admissible if b.unreachable_until_ns <= now] or admissible
-        untried = [b for b in reachable if b.entry.name not in tried] or reachable
-        # If more than half of these are ejected, the servers are hardly at fault: ejection is not applied.
+        untried = [b for b in reachable if b.entry.name not in tried_servers] or reachable
+        # If more than half of the untried servers are ejected, they are hardly at fault: ignore ejection.
         healthy = [b for b in untried if b.ejected_until_ns <= now]
         pool = healthy if 2 * len(healthy) >= len(untried) else untried
         # Cold servers with an allowance come first: by expected answer time alone they would stay idle.
-        order = {
-            b: (b.capacity_share >= 1.0, self.expected_wait(b, now, mean), self.rng.random()) for b in pool
+        sort_keys = {
+            b: (b.capacity_share >= 1.0, self.expected_wait(b, now, class_mean_ns), self.rng.random())
+            for b in pool
         }
-        return min(order, key=lambda b: order[b], default=None)
+        return min(sort_keys, key=lambda b: sort_keys[b], default=None)
 
-    def expected_wait(self, backend: Backend, now: int, mean: float) -> float:
+    def expected_wait(self, backend: Backend, now: int, class_mean_ns: float) -> float:
         """Expected answer time as a multiple of the mean, by attempts in flight and the learned speed."""
         wait = backend.relative_answer_time * (1.0 + backend.attempts_in_flight)
-        if backend.attempts_in_flight and now - backend.waiting_since_ns > OVERDUE_MEANS * mean:
-            wait += (now - backend.waiting_since_ns) / mean  # stalled: no answer to any attempt in flight
+        if backend.attempts_in_flight and now - backend.waiting_since_ns > OVERDUE_MEANS * class_mean_ns:
+            # The server may have stalled: no attempt in flight has been answered for long.
+            wait += (now - backend.waiting_since_ns) / class_mean_ns
         if now - backend.last_answer_ns > CONNECTION_KEPT_NS:
             wait += HANDSHAKE_MEANS
         if backend.entry.zone != self.settings.zone:
