--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -30,7 +30,7 @@
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.in_flight import InFlightRequest
-from gingerworks.policy.speculative_admission import BUSY_DEMAND, Headroom, PassRate, headroom_of
+from gingerworks.policy.speculative_admission import BUSY_DEMAND_FRACTION, Headroom, PassRate, headroom_of
 
 # A shared count is corrected if it shows more refill beyond a full store than this fraction of the burst.
 TOLERATED_SURPLUS = 0.25
@@ -39,18 +39,16 @@
 # After so many times the longest wait for an answer of the counter, a gateway has read the shared count with
 # any correction that was made to it, and without the duplicates of that correction by other gateways.
 CORRECTION_SETTLE_WAITS = 4
-READING_TRUST_PERIODS = (
-    3.0  # a reading of the shared count is trusted less and less after so many report periods
-)
+# A reading of the shared count is trusted less and less after so many report periods.
+READING_TRUST_PERIODS = 3.0
 # A gateway's part of a ceiling uses this fraction of the ceiling's slack, which is the use beyond the ceiling
 # that is tolerated; the rest of the slack is for errors that this module does not foresee.
 CEILING_SLACK_USED = 0.5
 # Each gateway's part of a ceiling holds at least so many requests of the largest size, unless a ceiling's
 # reserve of MIN_RESERVED_FRACTION leaves less.
 MIN_CEILING_PART_REQUESTS = 1.5
-MIN_RESERVED_FRACTION = (
-    0.5  # the least reserve of a ceiling that is large enough for it, as a fraction of the quota
-)
+# The least reserve of a ceiling that is large enough for it, as a fraction of the quota.
+MIN_RESERVED_FRACTION = 0.5
 # Fraction of the burst that is set aside within a ceiling, because a shared count that shows no more refill
 # than this beyond a full store is not corrected.
 CEILING_TOLERATED_SURPLUS = 0.1
@@ -78,7 +76,7 @@
     """One customer's allowances at this gateway, and what is known of its shared count."""
 
     def __init__(self, request: interface.Request, context: CustomerContext, now: int) -> None:
-        entries, settings = max(1, request.entries), context.settings
+        gateways, settings = max(1, request.entries), context.settings
         self.clock = context.clock
         self.key = f"{request.customer} {request.plan}"
         self.plan = plan = context.plans[request.plan]
@@ -88,14 +86,13 @@
         cap = max(plan.burst, settings.max_units)
         # A customer that is seen for the first time may certainly use its even share of the burst; the first
         # reading of the shared count shows what else is left.
-        self.even_burst = cap / entries
+        self.even_burst = cap / gateways
         initial = self.even_burst if settings.has_counter else max(self.even_burst, settings.max_units)
         # Estimate of the units that the quota's store holds, refilled at this gateway's share of the rate.
         # Each reading of the shared count replaces it.
         self.allowance = GapCounter(cap, initial, context.rng.random())
-        self.ceiling_allowance: GapCounter | None = (
-            None  # this gateway's part of the ceiling, if the plan has one
-        )
+        # This gateway's part of the ceiling, if the plan has one.
+        self.ceiling_allowance: GapCounter | None = None
         # Readings admit requests beyond the gateways' parts of the ceiling only while the quota's store lacks
         # no more than the ceiling's reserve.  The reserve is as large as the quota if the rest of the ceiling
         # is large enough for the parts.  Refill beyond a full store that the shared count may show is set
@@ -109,7 +106,7 @@
         reservable = (
             burst
             - CEILING_TOLERATED_SURPLUS * plan.burst
-            - MIN_CEILING_PART_REQUESTS * settings.max_units * entries
+            - MIN_CEILING_PART_REQUESTS * settings.max_units * gateways
         )
         reserved = min(1.0, max(MIN_RESERVED_FRACTION, reservable / max(plan.burst, EPSILON)))
         rest = burst - (reserved + CEILING_TOLERATED_SURPLUS) * plan.burst, rate - reserved * plan.rate
@@ -120,44 +117,45 @@
             )
         self.correction_settle_ns = CORRECTION_SETTLE_WAITS * settings.counter_wait_ns
         self.may_use_ceiling_reserve = False  # as the last reading of the shared count decided
-        self.ceiling_even_rate = rate / entries
+        self.ceiling_even_rate = rate / gateways
         if plan.ceiling_rate > 0:
             # The part starts empty: what this gateway admitted before a restart is not known.
             self.ceiling_allowance = GapCounter(
-                (burst + CEILING_SLACK_USED * plan.ceiling_slack) / entries, 0.0, 0.0
+                (burst + CEILING_SLACK_USED * plan.ceiling_slack) / gateways, 0.0, 0.0
             )
             self.ceiling_allowance.refill(self.ceiling_even_rate * (now - context.started_ns) / SECOND)
-        self.even_rate = plan.rate / entries
-        # This gateway's share of the quota, which readings do not replace: it limits the requests that are
-        # admitted without one.  A share that is smaller than a request is saved up until it covers one.
+        self.even_rate = plan.rate / gateways
+        # This gateway's share of the quota, which readings do not replace: for requests that no reading is
+        # taken for.  A share that is smaller than a request is saved up until it covers one.
         self.share_allowance = GapCounter(cap, self.even_burst, 0.0)
-        self.others_rate = plan.rate - self.even_rate  # estimated use at all other gateways
+        self.others_rate = plan.rate - self.even_rate  # estimated rate of use at all other gateways together
         self.deficit = -math.inf  # units that the store lacked at the last reading; -inf: none has been taken
         # To be added to the shared count: unreported use, which is below 0 if units added before have to be
         # taken back, and the amount that corrects the count.
         self.unreported = self.count_correction_due = 0.0
-        self.deficit_before_correction = 0.0  # shown by the count when a correction was found to be due
-        self.count_corrected_at_ns = -math.inf
-        self.overuse_since_ns: int | None = (
-            None  # when readings began to show more than the tolerated overuse
+        self.deficit_before_correction = (
+            0.0  # shown by the shared count when a correction was found to be due
         )
+        self.count_corrected_at_ns = -math.inf
+        # When readings of the shared count began to show more than the tolerated overuse.
+        self.overuse_since_ns: int | None = None
         self.pass_rate = PassRate()
-        self.own_deficit = (
-            0.0  # the least that the store lacks, by the use that this gateway alone has sent on
-        )
+        # The least that the quota's store can lack, by the use that this gateway alone has sent on.
+        self.own_deficit = 0.0
         self.own_deficit_at_ns = self.demand_at_ns = now
         self.demand = 0.0  # units requested at this gateway lately; earlier ones count for less
         self.refilled_at_ns = self.read_at_ns = self.last_request_at_ns = now
         # Exhausted: the store did not cover the last request that a reading was taken for.
         self.report_scheduled = self.exhausted = False
         self.counter_answered = True  # whether the counter answered this customer's last call
-        self.waiting: list[InFlightRequest[Customer]] = []  # requests that the next call takes a reading for
+        # Requests that the next call takes a reading for.
+        self.waiting_requests: list[InFlightRequest[Customer]] = []
         self.pending_call: CounterCall | None = None
 
     def share_rate(self, now: int) -> float:
         """This gateway's share of the rate: the even share and what others left by a recent reading."""
-        stale = (now - self.read_at_ns) / REPORT_PERIOD_NS - READING_TRUST_PERIODS
-        trust = 1.0 if stale <= 0 else math.exp(-stale / READING_TRUST_PERIODS)
+        stale_periods = (now - self.read_at_ns) / REPORT_PERIOD_NS - READING_TRUST_PERIODS
+        trust = 1.0 if stale_periods <= 0 else math.exp(-stale_periods / READING_TRUST_PERIODS)
         return self.even_rate + trust * max(0.0, self.plan.rate - self.others_rate - self.even_rate)
 
     def refill_allowances(self, now: int) -> None:
@@ -190,8 +188,10 @@
     def record_sent(self, units: float, now: int) -> None:
         """Record units of a request sent to a server; units beyond a store's burst take nothing from it."""
         self.share_allowance.level = max(-self.even_burst, self.share_allowance.level - units)
-        least = self.min_own_deficit(now)
-        self.own_deficit = least + units if least + units <= self.allowance.cap + EPSILON else least
+        least_deficit = self.min_own_deficit(now)
+        self.own_deficit = (
+            least_deficit + units if least_deficit + units <= self.allowance.cap + EPSILON else least_deficit
+        )
         self.own_deficit_at_ns = now
 
     def certainly_exceeds(self, units: float, now: int) -> bool:
@@ -200,10 +200,10 @@
 
     def record_demand(self, units: float, now: int) -> bool:
         """Record requested units; returns whether many were requested within about the last full refill."""
-        fades = self.plan.rate * (now - self.demand_at_ns) / SECOND / self.allowance.cap
-        before = self.demand * math.exp(-fades)
-        self.demand, self.demand_at_ns = before + units, now
-        return before >= BUSY_DEMAND * self.allowance.cap
+        full_refills = self.plan.rate * (now - self.demand_at_ns) / SECOND / self.allowance.cap
+        earlier_demand = self.demand * math.exp(-full_refills)
+        self.demand, self.demand_at_ns = earlier_demand + units, now
+        return earlier_demand >= BUSY_DEMAND_FRACTION * self.allowance.cap
 
     def headroom(self, units: float, busy: bool) -> Headroom:
         """What is known of the units left in the store for a request that the share does not cover."""
@@ -271,10 +271,10 @@
         that lost its counts makes the store look unused, and use beyond an empty store is added to the count
         although it takes nothing from the store.
         """
-        least = self.min_deficit(now)
+        least_deficit = self.min_deficit(now)
         if deficit <= (1 + TOLERATED_OVERUSE) * self.allowance.cap:
             self.overuse_since_ns = None
-            return least - deficit if deficit < least - self.tolerated_surplus else 0.0
+            return least_deficit - deficit if deficit < least_deficit - self.tolerated_surplus else 0.0
         # Use beyond an empty store is corrected only if it lasts: it may be the corrections that several
         # gateways have made of one fault, and all but one of these are about to be undone.
         if self.overuse_since_ns is None:
@@ -286,24 +286,28 @@
     def apply_reading(
         self, call: CounterCall, total: float, now: int
     ) -> list[tuple[InFlightRequest[Customer], bool]]:
-        """Learn the store's deficit from a total; returns whether it covers each of the requests held."""
+        """Apply a total of the shared count; returns whether the store covers each request that was held."""
         refilled = self.plan.rate * (now - call.count_began_ns) / SECOND
         total -= self.undo_duplicate_correction(call, total - call.amount - refilled)
         reported = max(0.0, call.reported)  # below 0, the call took back units that were never used
-        # The deficit without the use that this call reported and booked.
+        # The store's deficit without the use that this call reported and booked.
         deficit_before = total - (call.amount - call.reported - call.correction + reported) - refilled
         unreported, correction = max(0.0, self.unreported), self.count_correction_for(deficit_before, now)
         self.count_correction_due, self.deficit_before_correction = correction, deficit_before
-        corrected = self.allowance.cap if self.overuse_since_ns is not None else deficit_before + correction
-        deficit = max(self.min_deficit(now), corrected) + reported
+        corrected_deficit = (
+            self.allowance.cap if self.overuse_since_ns is not None else deficit_before + correction
+        )
+        deficit = max(self.min_deficit(now), corrected_deficit) + reported
         seconds = max(EPSILON, (now - self.read_at_ns) / SECOND)
-        elsewhere = min(
+        others_rate_since = min(
             self.plan.rate, max(0.0, self.plan.rate + (deficit - reported - self.deficit) / seconds)
         )
-        self.others_rate += (elsewhere - self.others_rate) * seconds / (seconds + REPORT_PERIOD_NS / SECOND)
+        self.others_rate += (
+            (others_rate_since - self.others_rate) * seconds / (seconds + REPORT_PERIOD_NS / SECOND)
+        )
         self.allowance.level = self.allowance.cap - deficit - unreported
         decisions = []
-        for inflight, booked in call.held:
+        for inflight, booked in call.held_requests:
             covered = deficit + inflight.request.units <= self.allowance.cap + EPSILON
             self.exhausted = not covered
             if covered and not inflight.closed:
@@ -356,8 +360,10 @@
         self.count_began_ns = count_began_ns
         self.reported = customer.unreported
         self.correction, self.deficit_before_correction = correction, customer.deficit_before_correction
-        self.held = [(inflight, self._booked_units(inflight)) for inflight in customer.waiting]
-        self.amount = self.reported + self.correction + sum(booked for _, booked in self.held)
+        self.held_requests = [
+            (inflight, self._booked_units(inflight)) for inflight in customer.waiting_requests
+        ]
+        self.amount = self.reported + self.correction + sum(booked for _, booked in self.held_requests)
 
     @staticmethod
     def _booked_units(inflight: InFlightRequest[Customer]) -> float:
@@ -367,4 +373,4 @@
     @property
     def books_later(self) -> bool:
         """Whether the call holds a request whose units are booked only after the reading has admitted it."""
-        return any(booked == 0.0 for _, booked in self.held)
+        return any(booked == 0.0 for _, booked in self.held_requests)
