--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -29,19 +29,21 @@
     describe_error,
 )
 
-# Idle connections are closed after this share of the time after which a server closes them at the latest.
+# The gateway closes idle connections after this share of the time after which servers close them at the
+# latest.
 IDLE_TIMEOUT_SHARE = 0.4
 MAX_BODY_BYTES = 64 * 1024
-MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # with the head and the framing
-ANSWER_STALL_S = 0.25  # for the rest of an answer that has begun: servers write an answer in one go
-MAX_INTERIM_ANSWERS = 16  # with a 1xx status, ahead of the final answer
+MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # the size of an answer with its head and its framing
+# An answer that has begun must be complete within this time: servers write an answer in one go.
+ANSWER_STALL_S = 0.25
+MAX_INTERIM_ANSWERS = 16  # answers with a 1xx status that may come before the final answer
 # A server may send a stray second answer some milliseconds after the first one.  A connection is reused only
 # after this time, so that such an answer is seen and not taken for the answer to the next request.
 MIN_IDLE_BEFORE_REUSE_NS = 20 * clock.NS_PER_MS
 MAX_LOAD_REPORT_BYTES = 1024
 HTTP_PREFIX, HTTP_VERSIONS = b"HTTP/", ("1.1", "1.0")
-FORWARDED_HEADERS = (b"content-type", b"content-encoding")  # a client needs them to read the body
-FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without them the answer ends at the close
+ANSWER_HEADERS_FOR_CLIENT = (b"content-type", b"content-encoding")  # for the client to read the body
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without these an answer ends at the close
 
 log = logging.getLogger(__name__)
 
@@ -105,8 +107,8 @@
         self.attempt: Attempt | None = attempt
         self.socket: socket.socket | None = None
         self.idle_since_ns = 0
-        self.idle_before_ns: int | None = None  # before this attempt; none for the first one
-        self.unsent = b""  # rest of the request, not yet accepted by the kernel
+        self.idle_before_ns: int | None = None  # how long it was idle before this attempt; None for the first
+        self.unsent = b""  # the rest of the request, which the kernel has not accepted yet
         self.watching_writable = False
         self.answer = Answer()
         self.received_bytes = self.interim_answers = 0
@@ -127,8 +129,8 @@
         assert self.attempt is not None
         try:
             self.backends.loop.add_reader(sock.fileno(), self.on_readable)
-        except OSError as fault:
-            return self.backends.end_attempt(self, self.backends.send_failure_status(fault))
+        except OSError as error:
+            return self.backends.end_attempt(self, self.backends.send_failure_status(error))
         if not self.attempt.may_start():
             return self.backends.end_attempt(self, interface.Status.UNUSED)
         # While this was connecting, the server may have been drained, removed or restarted.  A busy event
@@ -158,16 +160,17 @@
         return self.on_writable()
 
     def on_writable(self) -> None:
-        """Write as much of the request as the kernel accepts; it may run once its last byte is written."""
+        """Write as much of the request as the kernel accepts; a server may run it once all is written."""
         assert self.socket is not None
         try:
             self.unsent = self.unsent[self.socket.send(self.unsent) :]
         except (BlockingIOError, InterruptedError):
             pass
-        except OSError as fault:
+        except OSError as error:
             # A failed send(2) accepts no byte, so the request is incomplete at the server and never ran.
-            # After a resource shortage, waiting until the socket is writable would be a busy loop: it is.
-            return self.backends.end_attempt(self, self.backends.send_failure_status(fault))
+            # After a resource shortage, waiting for the socket to be writable would be a busy loop, as it
+            # is writable all the time.
+            return self.backends.end_attempt(self, self.backends.send_failure_status(error))
         if bool(self.unsent) != self.watching_writable:
             self.watching_writable = bool(self.unsent)
             if self.watching_writable:
@@ -181,10 +184,10 @@
         assert self.socket is not None
         try:
             data = self.socket.recv(65536)
-        except OSError as fault:
-            if fault.errno in RESOURCE_SHORTAGE:
+        except OSError as error:
+            if error.errno in RESOURCE_SHORTAGE:
                 return self._read_again_later()
-            if fault.errno in RETRYABLE:
+            if error.errno in RETRYABLE:
                 return None  # the connection still works; its data stays in the kernel
             data, self.ends_at_close = b"", False  # a reset does not end an answer
         if self.attempt is None:
@@ -200,10 +203,10 @@
         self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.keep_alive = False
             if not self.answer_complete:
-                return self._reject_answer(str(fault.__context__ or fault))
+                return self._reject_answer(str(error.__context__ or error))
         return self._end_if_complete()
 
     def _read_again_later(self) -> None:
@@ -223,7 +226,7 @@
 
     def _end_if_complete(self) -> None:
         """End the attempt if its answer is complete or too long; otherwise limit the wait for the rest."""
-        if self.answer_complete:  # even if invalid data follows it
+        if self.answer_complete:  # even if invalid data follows the answer
             return self.backends.end_attempt(self, self.answer.attempt_status(), self.answer, self.keep_alive)
         if self.received_bytes > MAX_ANSWER_BYTES:
             return self._reject_answer("the answer is too long")
@@ -241,20 +244,21 @@
     def on_message_begin(self) -> None:
         """Parser's callback."""
         if self.answer_complete:
-            self.keep_alive = False  # there is data behind the answer
+            self.keep_alive = False  # further data follows the complete answer
             return
         self.answer_begun, self.framed = True, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser's callback."""
-        # Here and in the callbacks below, data behind a complete answer must not change it.
+        # In each callback of the parser, data that follows a complete answer must not change that answer.
         if self.answer_complete:
             return
         name, value, answer = name.lower(), value.rstrip(number_parsing.OPTIONAL_WHITESPACE), self.answer
         self.framed = self.framed or name in FRAMING_HEADERS
         if name == b"content-length" and int(value) > MAX_BODY_BYTES:
-            raise InvalidAnswer(f"a body of {value.decode()} bytes is too long")  # without reading it
-        if name in FORWARDED_HEADERS:
+            # The answer is rejected before its body is read.
+            raise InvalidAnswer(f"a body of {value.decode()} bytes is too long")
+        if name in ANSWER_HEADERS_FOR_CLIENT:
             answer.headers.append((name, value))
         elif name == b"x-unprocessed":
             answer.unprocessed = value == b"1"
@@ -284,7 +288,7 @@
         self.answer.status = self.parser.get_status_code()
         if self.answer.status >= 200:
             self.answer_complete = True
-            # This must be read here: after the callback the parser has reset its state and returns false.
+            # The parser is asked here, as it resets its state after this callback and would return false.
             self.keep_alive = self.parser.should_keep_alive()
         else:
             self.answer = Answer()
@@ -314,13 +318,13 @@
         self._open: set[Connection] = set()
         self._idle_timer: asyncio.TimerHandle | None = None
         self._idle_limit = IdleLimitEstimator()
-        self._logged_shortage = ""  # the last one logged; empty again once a connection is being opened
+        self._logged_shortage = ""  # the shortage logged last; empty again once a connection opens
 
     def update_servers(self, change: Change) -> None:
         """Apply a full list or a change of it, and close idle connections to processes that have ended."""
         if change.full:
-            listed = {endpoint.server.name for endpoint in change.endpoints}
-            for name in self._endpoints.keys() - listed:
+            listed_names = {endpoint.server.name for endpoint in change.endpoints}
+            for name in self._endpoints.keys() - listed_names:
                 del self._endpoints[name]
                 self.close_idle(name)
         for endpoint in change.endpoints:
@@ -329,9 +333,9 @@
                 self._endpoints.pop(server.name, None)
                 self.close_idle(server.name)
                 continue
-            before = self._endpoints.get(server.name)
+            previous = self._endpoints.get(server.name)
             self._endpoints[server.name] = endpoint
-            if before is None or _process(before) != _process(endpoint):
+            if previous is None or _process_identity(previous) != _process_identity(endpoint):
                 self.close_idle(server.name)
 
     def servers(self) -> Iterable[interface.Server]:
@@ -340,11 +344,11 @@
 
     def accepts_work(self, endpoint: Endpoint) -> bool:
         """Whether this process is, as far as is known, still running and ready for new requests."""
-        now = self._endpoints.get(endpoint.server.name)
+        current = self._endpoints.get(endpoint.server.name)
         return (
-            now is not None
-            and now.server.phase is interface.Phase.READY
-            and _process(now) == _process(endpoint)
+            current is not None
+            and current.server.phase is interface.Phase.READY
+            and _process_identity(current) == _process_identity(endpoint)
         )
 
     def start(self, attempt: Attempt) -> None:
@@ -359,8 +363,8 @@
         except DialError as error:
             return attempt.on_end(attempt, self.connect_failure_status(attempt.server, error), None)
         attempt.connection, connection.attempt = connection, attempt
-        left = (attempt.expires_at_ns - clock.now()) / clock.NS_PER_S
-        attempt.timer = self.loop.call_later(max(0.0, left), self._on_timeout, attempt)
+        time_left_s = (attempt.expires_at_ns - clock.now()) / clock.NS_PER_S
+        attempt.timer = self.loop.call_later(max(0.0, time_left_s), self._on_timeout, attempt)
         if connection.socket is not None:
             connection.send_request()
         return None
@@ -459,14 +463,14 @@
             self.end_attempt(
                 attempt.connection, interface.Status.DIAL_FAILED if never_ran else interface.Status.EXPIRED
             )
-            self.close_idle(attempt.server)  # if the machine has vanished, they are dead too
+            self.close_idle(attempt.server)  # if the server's machine is down, these connections are dead too
 
     def _take_idle(self, server: str) -> Connection | None:
         now = clock.now()
         idle = self._idle.get(server, [])
         limit_ns = min(self._max_idle_ns, self._idle_limit.limit_ns() or self._max_idle_ns)
-        # A stray second answer to the last request has arrived by the time that a connection has been idle
-        # for this minimum, and the read below finds it.
+        # A stray second answer to the last request arrives within MIN_IDLE_BEFORE_REUSE_NS; the call of
+        # recv() below finds it.
         for connection in [c for c in reversed(idle) if now - c.idle_since_ns >= MIN_IDLE_BEFORE_REUSE_NS]:
             idle.remove(connection)
             assert connection.socket is not None
@@ -494,11 +498,11 @@
         self._report_shortage(str(error), error.code)
         return interface.Status.UNUSED
 
-    def send_failure_status(self, fault: OSError) -> interface.Status:
+    def send_failure_status(self, error: OSError) -> interface.Status:
         """The status of an attempt whose request could not be written completely, so that it never ran."""
-        if fault.errno not in RESOURCE_SHORTAGE:
+        if error.errno not in RESOURCE_SHORTAGE:
             return interface.Status.DIAL_FAILED
-        self._report_shortage(describe_error(fault.errno), fault.errno)
+        self._report_shortage(describe_error(error.errno), error.errno)
         return interface.Status.UNUSED
 
     def _report_shortage(self, text: str, code: int) -> None:
@@ -539,9 +543,11 @@
         for connection in connections:
             if now - connection.idle_since_ns >= self._max_idle_ns:
                 self.close_connection(connection)
-        oldest = min((c.idle_since_ns for c in connections if c.socket is not None), default=None)
-        if oldest is not None:
-            delay_ns = max(clock.NS_PER_MS, oldest + self._max_idle_ns - now)
+        first_idle_since_ns = min(
+            (c.idle_since_ns for c in connections if c.socket is not None), default=None
+        )
+        if first_idle_since_ns is not None:
+            delay_ns = max(clock.NS_PER_MS, first_idle_since_ns + self._max_idle_ns - now)
             self._idle_timer = self.loop.call_later(delay_ns / clock.NS_PER_S, self._close_expired_idle)
 
     def _close_oldest_idle(self) -> bool:
@@ -554,7 +560,7 @@
         return True
 
 
-def _process(endpoint: Endpoint) -> tuple[object, int]:
+def _process_identity(endpoint: Endpoint) -> tuple[object, int]:
     """Identify the process behind an entry: a restart or a move to another address makes a new one."""
     return endpoint.address, endpoint.server.started_ns
 
--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -17,7 +17,8 @@
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
-# After EINTR the connection is still established in the background (connect(2)).
+# The results of connect(2) after which a connection is being established; after EINTR that goes on in the
+# background.
 CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)
 
 
@@ -61,13 +62,13 @@
         self._socket = _start_connecting(address)
         try:
             loop.add_writer(self._socket.fileno(), self._on_writable)
-        except OSError as fault:
+        except OSError as error:
             self._socket.close()
-            raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
+            raise DialError.from_errno(DialFailure.LOCAL, error.errno or 0) from error
         self._timer = loop.call_later(timeout_s, self._on_timeout)
 
     def cancel(self) -> None:
-        """Give up; no callback is called any more."""
+        """Stop connecting; no callback is called any more."""
         self._stop()
         self._socket.close()
 
@@ -85,9 +86,9 @@
     def _on_writable(self) -> None:
         try:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        except OSError as fault:
+        except OSError as error:
             # It is unknown whether the connection was established, but nothing was sent on it.
-            return self._fail(DialError.from_errno(DialFailure.LOCAL, fault.errno or 0))
+            return self._fail(DialError.from_errno(DialFailure.LOCAL, error.errno or 0))
         if code:
             failure = DialFailure.LOCAL if code in LOCAL_CONNECT_ERRORS else DialFailure.UNREACHABLE
             return self._fail(DialError.from_errno(failure, code))
@@ -100,13 +101,13 @@
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-    except OSError as fault:
-        raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
+    except OSError as error:
+        raise DialError.from_errno(DialFailure.LOCAL, error.errno or 0) from error
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    except OSError as fault:
+    except OSError as error:
         sock.close()
-        raise DialError.from_errno(DialFailure.LOCAL, fault.errno or 0) from fault
+        raise DialError.from_errno(DialFailure.LOCAL, error.errno or 0) from error
     code = sock.connect_ex(address)
     if code in CONNECTING:
         return sock
