--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -3,12 +3,12 @@
 A quota is a store of units that all gateways share: it refills at the plan's rate and holds the plan's burst.
 Gateways add each customer's use to a shared count of the counter.  The total, less what has been refilled
 since the count began, is the store's deficit: the units that it lacks.  A call to the counter reports use and
-returns the total, which is a reading of the shared count.
+returns the total; such a total is called a reading of the shared count.
 
 - Between readings a gateway may use its share of the rate: the even share, which is the rate divided by the
   customer's number of gateways, and whatever the other gateways seem to leave unused.
 - Requests that the share does not cover can be held for a reading of the shared count; those that the store
-  covers are booked in the count.
+  covers are booked, that is, added to the count before they are used.
 - A shared count that cannot be right is corrected: a gateway adds the difference, which may be below 0.
 - A plan may also have a ceiling on all use, within the quota and beyond it.  It is divided into a reserve,
   for requests that readings admit, and an even part for each gateway, from which the gateway may admit
@@ -30,29 +30,36 @@
 from gingerworks.policy.constants import COUNT_TTL_NS, EPSILON, REPORT_PERIOD_NS, SECOND, SWEEP_PERIOD_NS
 from gingerworks.policy.gap_counter import GapCounter
 from gingerworks.policy.in_flight import InFlightRequest
-from gingerworks.policy.speculative_admission import BUSY_DEMAND_FRACTION, Headroom, PassRate, headroom_of
-
-# A shared count is corrected if it shows more refill beyond a full store than this fraction of the burst.
+from gingerworks.policy.speculative_admission import (
+    HIGH_DEMAND_FRACTION,
+    AdmitFraction,
+    Headroom,
+    headroom_of,
+)
+
+# A shared count is corrected if it shows more refill beyond a full store, a surplus, than this fraction of
+# the burst.
 TOLERATED_SURPLUS = 0.25
 # A shared count is corrected if it shows more use beyond an empty store than this fraction of the burst.
 TOLERATED_OVERUSE = 0.5
 # After so many times the longest wait for an answer of the counter, a gateway has read the shared count with
-# any correction that was made to it, and without the duplicates of that correction by other gateways.
+# any correction that was made to it; if several gateways made the same one, all but one are undone by then.
 CORRECTION_SETTLE_WAITS = 4
-# A reading of the shared count is trusted less and less after so many report periods.
+# A reading of the shared count is trusted in full for so many report periods, and then less and less.
 READING_TRUST_PERIODS = 3.0
-# A gateway's part of a ceiling uses this fraction of the ceiling's slack, which is the use beyond the ceiling
-# that is tolerated; the rest of the slack is for errors that this module does not foresee.
-CEILING_SLACK_USED = 0.5
+# A plan tolerates some units beyond its ceiling, called the slack.  This fraction of the slack is added to
+# the gateways' parts of the ceiling; the rest is a margin for errors that this module does not foresee, such
+# as a shared count that shows too much refill.
+CEILING_SLACK_USED_FRACTION = 0.5
 # Each gateway's part of a ceiling holds at least so many requests of the largest size, unless a ceiling's
 # reserve of MIN_RESERVED_FRACTION leaves less.
 MIN_CEILING_PART_REQUESTS = 1.5
-# The least reserve of a ceiling that is large enough for it, as a fraction of the quota.
+# A ceiling's reserve is at least this fraction of the quota.  A ceiling too small for that has no reserve.
 MIN_RESERVED_FRACTION = 0.5
-# Fraction of the burst that is set aside within a ceiling, because a shared count that shows no more refill
-# than this beyond a full store is not corrected.
+# This fraction of the burst is set aside within a ceiling, because a shared count is not corrected while it
+# shows no more refill than this beyond a full store.
 CEILING_TOLERATED_SURPLUS = 0.1
-# Fraction of a request's units that a gateway's share may lack when it admits the request without a reading.
+# A gateway's share may lack this fraction of a request's units when it admits the request without a reading.
 MAX_MISSING_SHARE = 0.5
 # The call that takes a reading for a request also books the request's units in the shared count if the
 # reading is expected to admit the request with at least this probability.
@@ -113,7 +120,8 @@
         if settings.has_counter and plan.rate > 0 < min(rest):
             (burst, rate), self.reserved_units = rest, reserved * plan.burst
             self.tolerated_surplus = (
-                CEILING_TOLERATED_SURPLUS * plan.burst + (1 - CEILING_SLACK_USED) * plan.ceiling_slack
+                CEILING_TOLERATED_SURPLUS * plan.burst
+                + (1 - CEILING_SLACK_USED_FRACTION) * plan.ceiling_slack
             )
         self.correction_settle_ns = CORRECTION_SETTLE_WAITS * settings.counter_wait_ns
         self.may_use_ceiling_reserve = False  # as the last reading of the shared count decided
@@ -121,7 +129,7 @@
         if plan.ceiling_rate > 0:
             # The part starts empty: what this gateway admitted before a restart is not known.
             self.ceiling_allowance = GapCounter(
-                (burst + CEILING_SLACK_USED * plan.ceiling_slack) / gateways, 0.0, 0.0
+                (burst + CEILING_SLACK_USED_FRACTION * plan.ceiling_slack) / gateways, 0.0, 0.0
             )
             self.ceiling_allowance.refill(self.ceiling_even_rate * (now - context.started_ns) / SECOND)
         self.even_rate = plan.rate / gateways
@@ -130,8 +138,8 @@
         self.share_allowance = GapCounter(cap, self.even_burst, 0.0)
         self.others_rate = plan.rate - self.even_rate  # estimated rate of use at all other gateways together
         self.deficit = -math.inf  # units that the store lacked at the last reading; -inf: none has been taken
-        # To be added to the shared count: unreported use, which is below 0 if units added before have to be
-        # taken back, and the amount that corrects the count.
+        # Two amounts that are still to be added to the shared count: unreported use, which is below 0 if
+        # units added before have to be taken back, and the amount that corrects the count.
         self.unreported = self.count_correction_due = 0.0
         self.deficit_before_correction = (
             0.0  # shown by the shared count when a correction was found to be due
@@ -139,13 +147,13 @@
         self.count_corrected_at_ns = -math.inf
         # When readings of the shared count began to show more than the tolerated overuse.
         self.overuse_since_ns: int | None = None
-        self.pass_rate = PassRate()
+        self.admit_fraction = AdmitFraction()
         # The least that the quota's store can lack, by the use that this gateway alone has sent on.
         self.own_deficit = 0.0
         self.own_deficit_at_ns = self.demand_at_ns = now
         self.demand = 0.0  # units requested at this gateway lately; earlier ones count for less
         self.refilled_at_ns = self.read_at_ns = self.last_request_at_ns = now
-        # Exhausted: the store did not cover the last request that a reading was taken for.
+        # The quota counts as exhausted if the store did not cover the last request with a reading.
         self.report_scheduled = self.exhausted = False
         self.counter_answered = True  # whether the counter answered this customer's last call
         # Requests that the next call takes a reading for.
@@ -195,7 +203,7 @@
         self.own_deficit_at_ns = now
 
     def certainly_exceeds(self, units: float, now: int) -> bool:
-        """Whether the store cannot hold these units, however little the other gateways have sent on."""
+        """Whether the store cannot cover these units, however little the other gateways have sent on."""
         return max(self.min_deficit(now), self.min_own_deficit(now)) + units > self.allowance.cap + EPSILON
 
     def record_demand(self, units: float, now: int) -> bool:
@@ -203,12 +211,12 @@
         full_refills = self.plan.rate * (now - self.demand_at_ns) / SECOND / self.allowance.cap
         earlier_demand = self.demand * math.exp(-full_refills)
         self.demand, self.demand_at_ns = earlier_demand + units, now
-        return earlier_demand >= BUSY_DEMAND_FRACTION * self.allowance.cap
+        return earlier_demand >= HIGH_DEMAND_FRACTION * self.allowance.cap
 
-    def headroom(self, units: float, busy: bool) -> Headroom:
+    def headroom(self, units: float, high_demand: bool) -> Headroom:
         """What is known of the units left in the store for a request that the share does not cover."""
         if self.deficit < 0:
-            return Headroom.UNREAD_BUSY if busy else Headroom.UNREAD
+            return Headroom.UNREAD_HIGH_DEMAND if high_demand else Headroom.UNREAD
         return headroom_of((self.allowance.level - units) / self.allowance.cap)
 
     def undo_booking(self, units: float) -> None:
@@ -344,16 +352,19 @@
 
 
 class CounterCall:
-    """A call to the shared counter: the use it reports, a correction, and the requests held for its answer.
+    """A call to the shared counter for one customer, and the requests that are held for its answer.
 
-    Each request is held with the units that the call books for it.  For a request that is more likely to be
-    refused than admitted the call books nothing; its units are booked once the reading has admitted it.
+    The amount that the call adds to the shared count has three parts: use not yet reported, a correction of a
+    count found to be wrong, and units booked for held requests, that is, counted before the request is sent.
+    The answer is a reading of the count, by which each held request is admitted or refused.  For a request
+    that will probably be refused the call books nothing; if the reading admits it, a later call adds its
+    units.
     """
 
     def __init__(
         self, customer: Customer, count_began_ns: int, correction: float, agreed: bool = True
     ) -> None:
-        """``agreed``: this gateway has evidence that the other gateways name the count by the same time."""
+        """``agreed`` says whether there is evidence that all gateways name the count by the same time."""
         self.customer = customer
         self.clock_agreed = agreed
         self.clock_steps_at_start = customer.clock.clock_steps
@@ -372,5 +383,5 @@
 
     @property
     def books_later(self) -> bool:
-        """Whether the call holds a request whose units are booked only after the reading has admitted it."""
+        """Whether the call holds a request whose units a later call adds to the count, if it is admitted."""
         return any(booked == 0.0 for _, booked in self.held_requests)
--- a/gingerworks/policy/gap_counter.py
+++ b/gingerworks/policy/gap_counter.py
@@ -11,8 +11,8 @@
 
 from gingerworks.policy.constants import EPSILON
 
-# Intervals that refill an empty counter: the cap N that Turner and Key recommend (Table 1 of their paper),
-# counted in increments m.
+# An empty counter is full after so many intervals.  It is the cap N that Turner and Key recommend (Table 1 of
+# their paper), counted in increments m.
 INTERVALS_TO_FULL = 40
 
 
@@ -32,7 +32,7 @@
         self.phase = phase
 
     def refill(self, amount: float) -> None:
-        """Let the time pass in which this amount is refilled; the level grows by whole increments ``m``."""
+        """Advance by the time that refilling this amount takes; the level rises by whole increments ``m``."""
         self.phase += amount / self.m
         intervals = math.floor(self.phase)
         self.phase -= intervals
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -19,19 +19,21 @@
 from gingerworks import interface
 from gingerworks.policy.constants import SECOND, TARGET_AIM_FRACTIONS
 
-# Time over which load is remembered: long enough for several answers at a gateway that gets few requests.
+# Load is remembered over this time, which is long enough for several answers at a gateway that gets few
+# requests.
 LOAD_MEMORY_NS = 3 * SECOND
-# Number of answers in the target time that are assumed in addition to those seen.  With so many, the load
-# ratio varies by a tenth at random if the work of requests varies by as much as its mean.
+# The load ratio is computed as if so many answers had come in the target time, in addition to those seen.
+# With so many, random variation moves the ratio by a tenth, if the standard deviation of the work of requests
+# equals its mean.
 PRIOR_ANSWERS = 40.0
 # Requests are shed only at load ratios above this.  Without overload, random variation reaches about this
 # ratio, given the PRIOR_ANSWERS.
 LOAD_RATIO_TOLERANCE = 1.1
-# Exponent that sets how steeply shedding grows with the load ratio.  A tenth above LOAD_RATIO_TOLERANCE, half
+# This exponent sets how steeply shedding grows with the load ratio.  A tenth above LOAD_RATIO_TOLERANCE, half
 # of the requests of middle rank are refused: it is steep because queues cost the most.
 SHED_EXPONENT = 12.0
-# Fraction of the recorded work and worth that is kept at each new request, so that requests are ranked among
-# about the last hundred.
+# Each new request multiplies the recorded work and worth of earlier ones by this, so that requests are ranked
+# among about the last hundred.
 OFFER_MEMORY = 0.99
 
 
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -1,10 +1,11 @@
 """All customers of one gateway, and its calls to the counter that the gateways share.
 
 Decides whether a customer's quota covers a request, when its use is reported to the shared count, and which
-requests are held for a reading of it.  A request is uncertain if it may be within the quota, but is not
-covered by the gateway's allowance or exceeds the even share of the burst.  While the counter answers in time,
-a reading is taken for each uncertain request.  While it is late, readings are taken for a fraction of them,
-and the others are admitted or refused by estimates, see ``speculative_admission``.
+requests are held for a reading of it, that is, for a call to the counter that returns the count's total.
+A request is uncertain if it may be within the quota, but is not covered by the gateway's allowance or exceeds
+the even share of the burst.  While the counter answers in time, a reading is taken for each uncertain
+request.  While it is late, readings are taken for a fraction of them, and the others are admitted or refused
+by estimates, see ``speculative_admission``.
 """
 
 from __future__ import annotations
@@ -21,11 +22,14 @@
 
 # Readings are taken for at least this fraction of uncertain requests, even if the counter does not answer.
 MIN_READ_FRACTION = 0.1
-MAX_CUSTOMERS = 20_000  # customers remembered at a time: far more than send requests within a few sweeps
+# A gateway remembers at most so many customers.  Far fewer send requests within a few sweeps, which are the
+# regular searches for idle customers to forget.
+MAX_CUSTOMERS = 20_000
 # Unreported use beyond this fraction of a customer's allowance, or of its even share of the burst if that is
 # more, is reported at once, as the other gateways admit requests from the same store.
 URGENT_REPORT_FRACTION = 0.25
-# Use admitted by estimates is reported by a call of its own once this fraction of the burst is unreported.
+# If requests were admitted by estimates, a call is made to report their use once this fraction of the burst
+# is unreported; until then their use waits for the customer's next call.
 MAX_UNREPORTED_FRACTION = 0.5
 # The counter is taken to be out of service after this time without an answer.
 COUNTER_SILENT_NS = 3 * REPORT_PERIOD_NS
@@ -58,9 +62,8 @@
         """
         key = (request.customer, request.plan)
         if key not in self.customers and len(self.customers) >= MAX_CUSTOMERS:
-            del self.customers[
-                next(iter(self.customers))
-            ]  # the customer that has been remembered for longest
+            # Forget the customer that was added first, which makes room for the new one.
+            del self.customers[next(iter(self.customers))]
         customer = self.customers[key] = self.customers.get(key) or Customer(request, self, now)
         customer.refill_allowances(now)
         customer.last_request_at_ns = now
@@ -70,14 +73,14 @@
         """Whether the quota covers a request; ``None`` if a reading of the shared count is to decide."""
         customer, units = inflight.customer, inflight.request.units
         allowance, has_counter = customer.allowance, self.settings.has_counter
-        busy = customer.record_demand(units, now)
+        high_demand = customer.record_demand(units, now)
         if customer.plan.rate <= 0 or (
             allowance.covers(units) and (units <= customer.even_burst or not has_counter)
         ):
             return True
         if not has_counter or customer.certainly_exceeds(units, now):
             return False
-        if self.should_read(inflight, customer.headroom(units, busy), now):
+        if self.should_read(inflight, customer.headroom(units, high_demand), now):
             return None
         return self.admits_without_reading(inflight, now)
 
@@ -98,13 +101,13 @@
         """What is known of a request beyond the allowance or beyond the gateway's part of a ceiling."""
         customer, is_retry = inflight.customer, inflight.request.is_retry
         plan = customer.plan
-        chance = self.speculation.chance(plan.name, is_retry, headroom, customer.pass_rate)
+        chance = self.speculation.chance(plan.name, is_retry, headroom, customer.admit_fraction)
         return UncertainRequest(
             plan.name, is_retry, headroom, chance, self.worth(inflight), plan.overrun_cost
         )
 
     def admits_without_reading(self, inflight: InFlightRequest[Customer], now: int) -> bool:
-        """Whether to admit an uncertain request: by estimates, or the even share if calls get no answer."""
+        """Whether to admit an uncertain request: by estimates, or the even share if the counter is silent."""
         customer, units, uncertain = inflight.customer, inflight.request.units, inflight.uncertainty
         silent = now - self.answered_at_ns > COUNTER_SILENT_NS and not self.clock.suspends_customer_calls(now)
         if uncertain is None or silent:
@@ -122,10 +125,10 @@
         inflight.customer.record_sent(inflight.request.units, now)
         self.speculation.record_sent(self.worth(inflight))
 
-    def learn(self, inflight: InFlightRequest[Customer], passed: bool) -> None:
+    def learn(self, inflight: InFlightRequest[Customer], admitted: bool) -> None:
         """Update the estimates with whether a reading admitted an uncertain request."""
         if inflight.uncertainty is not None:
-            self.speculation.learn(inflight.uncertainty, inflight.customer.pass_rate, passed)
+            self.speculation.learn(inflight.uncertainty, inflight.customer.admit_fraction, admitted)
 
     def is_report_urgent(self, customer: Customer) -> bool:
         """Whether a customer has so much unreported use that the other gateways should know of it now."""
@@ -232,7 +235,11 @@
         return customer, decisions
 
     def handle_clock_answer(self, answer: interface.Counted, now: int) -> None:
-        """Apply an answer to the clock synchronisation; if it changes the time, discard the readings."""
+        """Pass an answer to the clock synchronisation.
+
+        If it changes the agreed time, the names of the shared counts change too.  What this gateway read of
+        counts with the old names then says nothing of the new ones, so it is discarded for all customers.
+        """
         steps = self.clock.clock_steps
         self.clock.handle_answer(answer, now)
         if self.clock.clock_steps != steps:
--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -4,7 +4,7 @@
 counter cannot take a call for each uncertain request, calls are spent where a wrong decision is expected to
 cost the most.  A request without a reading is admitted speculatively only if its expected gain exceeds the
 expected cost of an overrun, which is use beyond the quota.  The expected costs of such overruns are held to a
-small fraction of all worth that is sent on.
+small fraction of the worth of all requests sent to servers.
 
 The worth of a request is that of its class, times the price of its plan, times its units.  The chance that a
 reading admits a request is learned from earlier readings: of its customer, of its plan and of all customers.
@@ -19,32 +19,34 @@
 from gingerworks.policy.constants import EPSILON
 from gingerworks.policy.gap_counter import GapCounter
 
-# Each new reading for a customer multiplies the weight of its earlier readings by this: about the last five
-# count.
+# Each new reading of a customer's shared count multiplies the weight of the customer's earlier readings by
+# this, so that about the last five count.
 CUSTOMER_MEMORY = 0.8
-# Each new reading of one kind at a gateway multiplies the weight of earlier readings of that kind by this:
-# about the last fifty count.
+# Each new reading at a gateway multiplies the weight of earlier ones for the same kind of request by this, so
+# that about the last fifty count.
 GATEWAY_MEMORY = 0.98
 # An estimate from a wider group, such as all customers of a plan, weighs as much as so many readings of the
 # narrower group, such as one customer.
 PRIOR_READINGS = 2.0
-START_CHANCE = 0.75  # estimated chance that the very first reading admits its request: quotas start unused
-# A customer for whom no reading has been taken counts as busy if it lately requested at least this
-# fraction of its burst.
-BUSY_DEMAND_FRACTION = 0.25
+# Before any reading, a reading is expected to admit its request with this chance: quotas start unused.
+START_CHANCE = 0.75
+# A customer for whom no reading has been taken counts as one of high demand if it lately requested at least
+# this fraction of its burst.
+HIGH_DEMAND_FRACTION = 0.25
 SCANT_HEADROOM = 0.25  # headroom is scant if less than this fraction of the burst is left after a request
 AMPLE_HEADROOM = 0.6  # headroom is ample if at least this fraction of the burst is left after a request
 # Speculative overruns may be expected to cost this fraction of the worth of all requests sent to servers.
 OVERRUN_BUDGET_FRACTION = 0.02
 OVERRUN_BUDGET_REQUESTS = 5.0  # the budget for overruns saves up at most the mean worth of so many requests
-MIN_MEAN_GAIN = 0.02  # least weight of a new value in a running mean, which thus covers about the last fifty
+# A new value has at least this weight in a running mean, so that about the last fifty values count.
+MIN_MEAN_GAIN = 0.02
 
 
 class Headroom(Enum):
     """What a gateway knows of the units left for a request in its customer's quota."""
 
     UNREAD = "no reading has been taken"
-    UNREAD_BUSY = "no reading has been taken, although the customer has sent many requests lately"
+    UNREAD_HIGH_DEMAND = "no reading has been taken, although the customer has sent many requests lately"
     NONE = "less than the request needs"
     SCANT = "hardly more than the request needs"
     SOME = "more than the request needs"
@@ -61,27 +63,27 @@
     return Headroom.SOME if fraction_left < AMPLE_HEADROOM else Headroom.AMPLE
 
 
-class PassRate:
-    """The fraction of readings that admitted the request they were taken for; older ones count for less."""
+class AdmitFraction:
+    """The fraction of readings of the shared count that admitted their request; older ones count for less."""
 
     def __init__(self) -> None:
-        self.readings = 0.0
-        self.passed = 0.0
+        self.weight = 0.0
+        self.admitted_weight = 0.0
 
     def estimate(self, prior: float) -> float:
         """The estimated chance that a reading admits a request.
 
         ``prior`` is the estimate from a wider group of readings, which matters most while there are few here.
         """
-        return (self.passed + PRIOR_READINGS * prior) / (self.readings + PRIOR_READINGS)
+        return (self.admitted_weight + PRIOR_READINGS * prior) / (self.weight + PRIOR_READINGS)
 
-    def add(self, passed: bool, memory: float) -> None:
-        """Add one reading; the weight of earlier readings is multiplied by ``memory``."""
-        self.readings = self.readings * memory + 1.0
-        self.passed = self.passed * memory + passed
+    def add(self, admitted: bool, memory: float) -> None:
+        """Add whether a reading admitted its request; ``memory`` multiplies the weight of earlier ones."""
+        self.weight = self.weight * memory + 1.0
+        self.admitted_weight = self.admitted_weight * memory + admitted
 
 
-NO_READINGS = PassRate()
+NO_READINGS = AdmitFraction()
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,25 +126,29 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._pass_rates: dict[tuple[bool, Headroom], PassRate] = {}
-        self._plan_pass_rates: dict[tuple[str, bool, Headroom], PassRate] = {}
+        self._admit_fractions: dict[tuple[bool, Headroom], AdmitFraction] = {}
+        self._plan_admit_fractions: dict[tuple[str, bool, Headroom], AdmitFraction] = {}
         self._mean_loss = Mean()
         self._mean_worth = Mean()
         # The budget for overruns starts empty: what this gateway admitted before a restart is not known.
         self._budget = GapCounter(EPSILON, 0.0, 0.0)
 
-    def chance(self, plan: str, is_retry: bool, headroom: Headroom, customer_rate: PassRate) -> float:
-        """The chance that a reading admits a request of this kind from a customer with this pass rate."""
-        overall_rate = self._pass_rates.get((is_retry, headroom), NO_READINGS)
-        plan_rate = self._plan_pass_rates.get((plan, is_retry, headroom), NO_READINGS)
-        return customer_rate.estimate(plan_rate.estimate(overall_rate.estimate(START_CHANCE)))
-
-    def learn(self, uncertain: UncertainRequest, customer_rate: PassRate, passed: bool) -> None:
-        """Update the pass rates with whether a reading admitted an uncertain request."""
-        customer_rate.add(passed, CUSTOMER_MEMORY)
+    def chance(
+        self, plan: str, is_retry: bool, headroom: Headroom, customer_fraction: AdmitFraction
+    ) -> float:
+        """The chance that a reading admits a request of this kind from a customer with this record."""
+        overall_fraction = self._admit_fractions.get((is_retry, headroom), NO_READINGS)
+        plan_fraction = self._plan_admit_fractions.get((plan, is_retry, headroom), NO_READINGS)
+        return customer_fraction.estimate(plan_fraction.estimate(overall_fraction.estimate(START_CHANCE)))
+
+    def learn(self, uncertain: UncertainRequest, customer_fraction: AdmitFraction, admitted: bool) -> None:
+        """Record whether a reading of the shared count admitted an uncertain request, for later estimates."""
+        customer_fraction.add(admitted, CUSTOMER_MEMORY)
         kind = uncertain.is_retry, uncertain.headroom
-        self._pass_rates.setdefault(kind, PassRate()).add(passed, GATEWAY_MEMORY)
-        self._plan_pass_rates.setdefault((uncertain.plan, *kind), PassRate()).add(passed, GATEWAY_MEMORY)
+        self._admit_fractions.setdefault(kind, AdmitFraction()).add(admitted, GATEWAY_MEMORY)
+        self._plan_admit_fractions.setdefault((uncertain.plan, *kind), AdmitFraction()).add(
+            admitted, GATEWAY_MEMORY
+        )
 
     def should_read(self, uncertain: UncertainRequest, read_fraction: float) -> bool:
         """Whether to take a reading for a request; likelier, the larger the expected loss without a reading.
