--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -37,7 +37,10 @@
 
 
 class Status(Enum):
-    """How an attempt, a probe or a counter call ended; ``DELIVERED`` means that an answer was received."""
+    """How an attempt (one sending of a request to a server), a probe or a counter call ended.
+
+    ``DELIVERED`` means that an answer was received.
+    """
 
     DELIVERED = "served"
     ERROR = "the server failed; it may have run"
@@ -79,8 +82,8 @@
     effect: Effect
     dedup_group: DedupGroup  # for keyed requests: the servers that drop repeats of one another's requests
     dedup_window_ns: int  # for keyed requests: how long after the first run repeats are dropped
-    aim_ns: int  # an answer within this time is worth the most
-    deadline_ns: int  # longest time allowed for an answer
+    aim_ns: int  # an answer is worth the most if it comes within this time after the request's arrival
+    deadline_ns: int  # an answer must come within this time after the request's arrival
     worth: float  # worth of an answer, before it is multiplied by the plan's price and the request's units
     late_worth: float
     aim_stretch: float = 0.0
@@ -115,7 +118,7 @@
     """
 
     drain_grace_ns: int
-    cold_ns: int  # how long after its start a server is cold, with a capacity that rises to the full one
+    cold_ns: int  # for this time after its start a server is cold: its capacity still rises to the full one
     start_capacity: float  # share of the full capacity that a server has at its start
     overload_factor: float  # how many times its capacity a cold server may be sent
     fall_ns: int
@@ -151,7 +154,7 @@
     discovery_on_request: bool  # if so, the server list comes only after a ``Watch`` action
     report_names: tuple[str, ...]  # names of the values to take from the load reports of servers
     probe_reports: bool
-    has_counter: bool
+    has_counter: bool  # whether there is a counter that all gateways share, see ``Count``
     counter_wait_ns: int  # longest wait for an answer of the shared counter
     counter_price: float
     meter_ns: int
@@ -213,7 +216,7 @@
     phase: Phase
     zone: str = ""
     cell: int = 0  # number of the group of servers within the zone
-    started_ns: int = 0  # start of the process; 0 if unknown or long ago, so that the server counts as warm
+    started_ns: int = 0  # when the process started; 0 if unknown or long ago: the server counts as warm
     size: float = 1.0  # relative capacity; not used by any decision
 
 
@@ -239,7 +242,7 @@
     customer: str
     entries: int  # how many gateways this customer's requests are spread over
     ttl_ns: int
-    units: float  # units that the request takes from the customer's quota
+    units: float  # units of use that the request takes from the customer's quota
     is_retry: bool = False  # the client retries an earlier request
 
 
@@ -264,7 +267,7 @@
     id: int
     attempt: int
     status: Status
-    elapsed_ns: int
+    elapsed_ns: int  # time from the start of the attempt to its end
     terminal: bool  # whether this outcome gave the request its final answer
     used_percent: float | None = None
     billed_units: float | None = None  # units that the server billed in place of ``Request.units``, if any
@@ -282,7 +285,7 @@
 class ShutdownStarted:
     """The gateway shuts down: all requests, in flight or new, must be answered by ``answers_due_ns``."""
 
-    answers_due_ns: int
+    answers_due_ns: int  # a moment on the caller's clock
 
 
 @dataclass(frozen=True, slots=True)
@@ -374,7 +377,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Add an amount to a shared count; a ``Counted`` event brings the total."""
+    """Add an amount to a shared count, a number that the gateways' counter keeps under a name.
+
+    A ``Counted`` event brings the total.
+    """
 
     name: int
     amount: float  # with 0 the count is only read
@@ -383,7 +389,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Subscribe to changes to the server list."""
+    """Subscribe to the server list; ``ServersChanged`` events bring the list and later changes to it."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -1,9 +1,9 @@
 """The entry point of the decisions: ``Policy`` takes events, consults the other modules and returns actions.
 
-A request is admitted, held until the shared counter has answered, or refused.  An admitted request gets one
-attempt, and further ones (retries, hedges) within the retry budget, and one final answer, a timer tick before
-its deadline at the latest.  Callbacks for later are kept in a heap; a timer is requested for the earliest.
-Times are nanoseconds of the caller's clock.
+A request is admitted, held for an answer of the shared counter (a reading), or refused.  If admitted, it gets
+one attempt, and further ones (retries, hedges) within the retry budget, and one final answer, a timer tick
+before its deadline at the latest.  Callbacks for later are kept in a heap; a timer is requested for the
+earliest.  Times are nanoseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from gingerworks.policy.speculative_admission import Headroom
 
 KEEPS_UP_FRACTION = 0.5  # the counter keeps up if readings are taken for this fraction of uncertain requests
-RETRY_SHARE = 0.1  # retries and hedges per admitted request in the long run: bounds retry storms
-RETRY_BURST = 10.0  # retries and hedges that may be saved up, so that a failure among few requests is retried
+RETRY_SHARE = 0.1  # each admitted request allows so many retries and hedges more: bounds retry storms
+RETRY_BURST = 10.0  # so many retries and hedges may be saved up: a failure among few requests is retried
 OVERDUE_AIM_FRACTION = 0.35  # an answer is overdue after this fraction of its request's aim at the earliest
-DEFAULT_WAIT_NS = 60_000_000  # wait advised with a refusal if none is known: about half a usual answer time
+DEFAULT_WAIT_NS = 60_000_000  # a refusal advises this wait if none is known: half a usual answer time or so
 
 
 class Policy:
@@ -48,7 +48,7 @@
         self.scheduled: list[tuple[int, int, Callable[[], None]]] = []  # heap by time, then order of adding
         self.reported_states: set[str] = set()  # states logged as begun and not yet as ended
         self.scheduled_count = 0
-        self.timer_due_ns: int | None = None
+        self.timer_due_at_ns: int | None = None
         self.shutdown_deadline_ns: int | None = None
         self.now = now
         self.actions: list[interface.Action] = []
@@ -97,11 +97,11 @@
 
     def set_timer(self) -> None:
         """Request a timer for the earliest callback, unless one is set that is due no later."""
-        if self.timer_due_ns is not None and self.timer_due_ns <= self.now:
-            self.timer_due_ns = None
-        if self.scheduled and (self.timer_due_ns is None or self.scheduled[0][0] < self.timer_due_ns):
-            self.timer_due_ns = self.scheduled[0][0]
-            self.actions.append(interface.Wake(max(1, self.timer_due_ns - self.now), 0))
+        if self.timer_due_at_ns is not None and self.timer_due_at_ns <= self.now:
+            self.timer_due_at_ns = None
+        if self.scheduled and (self.timer_due_at_ns is None or self.scheduled[0][0] < self.timer_due_at_ns):
+            self.timer_due_at_ns = self.scheduled[0][0]
+            self.actions.append(interface.Wake(max(1, self.timer_due_at_ns - self.now), 0))
 
     def sweep(self) -> None:
         """Forget idle customers and log state changes, every ``SWEEP_PERIOD_NS``."""
@@ -132,8 +132,8 @@
 
     def _schedule_end(self, inflight: InFlightRequest[Customer]) -> None:
         """Schedule the end of a request that has no answer a timer tick before its deadline."""
-        due_ns = max(self.now, inflight.deadline_ns - self.settings.tick_ns)
-        self.schedule(due_ns, lambda: self.end_unserved(inflight))
+        end_at_ns = max(self.now, inflight.deadline_ns - self.settings.tick_ns)
+        self.schedule(end_at_ns, lambda: self.end_unserved(inflight))
 
     def _shutdown_cuts_short(self, inflight: InFlightRequest[Customer]) -> bool:
         """Whether the shutdown leaves a request less time than its aim.
@@ -240,8 +240,8 @@
         """Admit or refuse a held request once the counter has answered or the call has failed."""
         customer, units = inflight.customer, inflight.request.units
         if customer.counter_answered:
-            passes = covered and (customer.may_use_ceiling_reserve or customer.ceiling_part_covers(units))
-            self.quotas.learn(inflight, passes)
+            admits = covered and (customer.may_use_ceiling_reserve or customer.ceiling_part_covers(units))
+            self.quotas.learn(inflight, admits)
         if not covered:
             self.decline(inflight, customer.refill_wait_ns(units))
         elif not self.admit(inflight, units, customer.counter_answered):
@@ -250,9 +250,9 @@
 
     def schedule_report(self, customer: Customer) -> None:
         """Schedule the call that reports this customer's use to the shared counter."""
-        due_ns = self.quotas.schedule_report(customer, self.now)
-        if due_ns is not None:
-            self.schedule(due_ns, lambda: self._call_counter(customer))
+        report_at_ns = self.quotas.schedule_report(customer, self.now)
+        if report_at_ns is not None:
+            self.schedule(report_at_ns, lambda: self._call_counter(customer))
 
     def _call_counter(self, customer: Customer) -> None:
         """Call the counter for this customer, unless the clock synchronisation defers or suspends calls."""
@@ -288,9 +288,9 @@
 
     def _schedule_clock_sync(self) -> None:
         """Schedule the next call of the clock synchronisation."""
-        due_ns = self.quotas.clock.due_at_ns
-        if due_ns is not None:
-            self.schedule(due_ns, self._sync_clock)
+        call_at_ns = self.quotas.clock.due_at_ns
+        if call_at_ns is not None:
+            self.schedule(call_at_ns, self._sync_clock)
 
     def _sync_clock(self) -> None:
         """Make the call of the clock synchronisation that is due."""
@@ -390,7 +390,7 @@
             self.shedder.time_allowed_ns += target_ns
 
     def _settle_units(self, inflight: InFlightRequest[Customer], outcome: interface.Outcome) -> None:
-        """Charge the difference between the units billed and those that the request stated."""
+        """Charge the difference between the units that the server billed and the request's units."""
         if outcome.billed_units is not None and inflight.customer.plan.rate > 0:
             extra = outcome.billed_units - inflight.request.units
             inflight.customer.allowance.adjust(-extra)
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -50,7 +50,7 @@
             * TARGET_AIM_FRACTIONS[0]
             * min(request_class.aim_ns for request_class in settings.classes)
         )
-        self.updated_ns = now
+        self.updated_at_ns = now
         # Recently offered work and worth of each request class and plan.
         self.offered_work_and_worth = {
             (c.name, p.name): [0.0, 0.0] for c in settings.classes for p in settings.plans
@@ -58,11 +58,11 @@
 
     def adjust_in_flight(self, change: int, now: int) -> None:
         """Account for the time since the last call, then change the number of attempts in flight."""
-        elapsed = now - self.updated_ns
+        elapsed = now - self.updated_at_ns
         fade = math.exp(-elapsed / LOAD_MEMORY_NS)
         self.time_in_flight_ns = self.time_in_flight_ns * fade + self.attempts_in_flight * elapsed
         self.time_allowed_ns *= fade
-        self.updated_ns = now
+        self.updated_at_ns = now
         self.attempts_in_flight += change
 
     def load_ratio(self, now: int) -> float:
--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -27,32 +27,33 @@
 from gingerworks.policy.constants import EPSILON, OVERDUE_MEANS, SECOND, TARGET_AIM_FRACTIONS
 from gingerworks.policy.gap_counter import GapCounter
 
-# Least weight of a new answer in a mean answer time, which thus covers about two hundred answers.  Means of
-# fewer dip by chance, and a dip would set the unloaded answer time too low.
+# Each new answer has at least this weight in the mean answer time of its class, so that the mean covers about
+# the last two hundred answers.  A mean of fewer answers dips by chance, and the unloaded answer time, which
+# is the lowest mean seen, would then be too low.
 MIN_MEAN_GAIN = 0.005
 # Mean answer times and answer rates of fewer answers are not relied on: they may be far off by chance.
 MIN_ANSWERS_FOR_ESTIMATE = 20
-# Time over which the answer rate per warm server is remembered: it hardly changes, and some gateways see few
-# answers.
+# The answer rate per warm server is remembered over this time, which may be long: the rate hardly changes,
+# and some gateways see few answers.
 CAPACITY_MEMORY_NS = 60 * SECOND
-# Time over which a request is gradually counted into the slow-start allowances of cold servers, so that a
-# burst of requests does not fill them at once.
+# Each request is counted into the slow-start allowances of cold servers gradually, over about this time, so
+# that a burst of requests does not fill them at once.
 ALLOTMENT_NS = 2 * SECOND
 # A server's speed is remembered over so many mean answer times.
 SPEED_MEMORY_MEANS = 20.0
-# Target answer time as a multiple of the unloaded answer time: it allows a short queue, which still keeps the
-# servers' cores busy.
+# The target answer time is this multiple of the unloaded answer time: it allows a short queue, which still
+# keeps the servers' cores busy.
 TARGET_OVER_UNLOADED = 1.25
 # For so long after a server's last answer, the connection to it is assumed to be still open.
 CONNECTION_KEPT_NS = 10 * SECOND
-# What a new connection costs the server and its first request, in mean answer times.
+# A new connection costs the server and its first request so many mean answer times.
 HANDSHAKE_MEANS = 0.5
 # A server that accepts no connection is first left out for this time: a restart may take so long.
 UNREACHABLE_MIN_NS = SECOND
 # A server that accepts no connection is left out for this time at most: server lists report a restart within
 # some seconds.
 UNREACHABLE_MAX_NS = 16 * SECOND
-# Growth of the unloaded answer time per answer: a tenth in five hundred answers.
+# With each answer the unloaded answer time grows by this fraction: by a tenth in five hundred answers.
 UNLOADED_DRIFT = 2e-4
 
 
@@ -69,8 +70,8 @@
         self.attempts_in_flight = self.consecutive_failures = self.consecutive_failed_dials = 0
         self.ejected_until_ns = self.unreachable_until_ns = 0
         self.relative_answer_time = self.capacity_share = 1.0
-        self.speed_updated_ns = self.waiting_since_ns = self.slow_start_refilled_ns = now
-        self.last_answer_ns = -math.inf
+        self.speed_updated_at_ns = self.waiting_since_ns = self.slow_start_refilled_at_ns = now
+        self.last_answer_at_ns = -math.inf
         # In a large fleet each gateway may send a cold server only one request in many seconds.  The random
         # initial level spreads these first requests over time: with equal levels the server would be idle for
         # that long, and then all gateways would send at once.
@@ -87,10 +88,12 @@
         self.mean_answer_ns = {c.name: c.aim_ns * 0.2 for c in settings.classes}
         self.unloaded_answer_ns = dict(self.mean_answer_ns)
         self.answers_seen = {c.name: 0 for c in settings.classes}
-        # Recent requests that have not yet been counted into the allowances of cold servers.
-        self.unallotted_requests, self.allotted_ns = 0.0, now
-        # Recent answers, and the time in which they came: seconds summed over the ready servers, each
-        # weighted by its capacity share.
+        # Cold servers get allowances in proportion to the requests that this gateway gets.  Each request is
+        # counted for that gradually, see ALLOTMENT_NS; this is the number of recent requests that are still
+        # to be counted.
+        self.unallotted_requests, self.allotted_at_ns = 0.0, now
+        # The number of recent answers, and the time in which they came: seconds summed over the ready
+        # servers, each weighted by its capacity share.
         self.recent_answers = self.recent_warm_server_seconds = 0.0
 
     def apply_list(self, event: interface.ServersChanged, now: int) -> None:
@@ -102,7 +105,8 @@
             self.backends = {name: b for name, b in self.backends.items() if name in listed}
         for entry in event.servers:
             known = self.backends.get(entry.name)
-            if entry.phase is interface.Phase.GONE:  # its name may never be used again
+            if entry.phase is interface.Phase.GONE:
+                # Forget the server: perhaps no further entry with its name follows.
                 self.backends.pop(entry.name, None)
             elif known and (
                 entry.started_ns == known.entry.started_ns or entry.phase is not interface.Phase.READY
@@ -129,7 +133,7 @@
         for backend in ready:
             backend.capacity_share = self.capacity_share_at(backend, now)
         total_capacity = sum(backend.capacity_share for backend in ready)
-        elapsed = now - self.allotted_ns
+        elapsed = now - self.allotted_at_ns
         fade = math.exp(-elapsed / CAPACITY_MEMORY_NS)
         self.recent_answers, self.recent_warm_server_seconds = (
             self.recent_answers * fade,
@@ -137,14 +141,14 @@
         )
         for backend in ready:
             if backend.capacity_share < 1.0:
-                since = max(backend.slow_start_refilled_ns, self.allotted_ns)
+                since = max(backend.slow_start_refilled_at_ns, self.allotted_at_ns)
                 backend.slow_start.refill(
                     backend.capacity_share
                     * self._requests_per_warm_server(now - since, total_capacity, len(ready))
                 )
-            backend.slow_start_refilled_ns = now
+            backend.slow_start_refilled_at_ns = now
         self.unallotted_requests *= math.exp(-elapsed / ALLOTMENT_NS)
-        self.allotted_ns = now
+        self.allotted_at_ns = now
 
     def _requests_per_warm_server(self, elapsed: int, total_capacity: float, servers: int) -> float:
         """Requests that a warm server is taken to get from this gateway in ``elapsed`` nanoseconds.
@@ -200,7 +204,7 @@
         if backend.attempts_in_flight and now - backend.waiting_since_ns > OVERDUE_MEANS * class_mean_ns:
             # The server may have stalled: no attempt in flight has been answered for long.
             wait += (now - backend.waiting_since_ns) / class_mean_ns
-        if now - backend.last_answer_ns > CONNECTION_KEPT_NS:
+        if now - backend.last_answer_at_ns > CONNECTION_KEPT_NS:
             wait += HANDSHAKE_MEANS
         if backend.entry.zone != self.settings.zone:
             wait *= 1.1  # traffic between zones costs a little; a tenth decides only between near equals
@@ -248,9 +252,9 @@
         backend.waiting_since_ns = now
         name = request_class.name
         weight = 1 - math.exp(
-            -(now - backend.speed_updated_ns) / (SPEED_MEMORY_MEANS * self.mean_answer_ns[name])
+            -(now - backend.speed_updated_at_ns) / (SPEED_MEMORY_MEANS * self.mean_answer_ns[name])
         )
-        backend.speed_updated_ns = backend.last_answer_ns = now
+        backend.speed_updated_at_ns = backend.last_answer_at_ns = now
         backend.consecutive_failures = backend.consecutive_failed_dials = backend.ejected_until_ns = 0
         answer_time_ratio = elapsed_ns / self.mean_answer_ns[name]
         self.answers_seen[name] += 1
--- a/gingerworks/simhost.py
+++ b/gingerworks/simhost.py
@@ -17,7 +17,11 @@
 
 
 class Host:
-    """Passes the events of a batch to the instances and collects their actions."""
+    """The simulated gateways, called instances, each with a ``Policy`` of its own.
+
+    ``reply_to`` handles one batch, which is all lines that the simulator sends for one moment of its time: it
+    passes the events to the instances that they are for and collects the actions of these.
+    """
 
     def __init__(self) -> None:
         self._policies: dict[int, Policy] = {}
--- a/gingerworks/wire.py
+++ b/gingerworks/wire.py
@@ -31,6 +31,7 @@
     "unused": interface.Status.UNUSED,
 }
 PHASES = {0: interface.Phase.GONE, 1: interface.Phase.READY, 2: interface.Phase.DRAINING}
+# Lines that begin with one of these words are events; ``event_from`` translates each into its type.
 EVENT_WORDS = frozenset(("REQUEST", "REPLY", "LAPSED", "REMINDER", "STARTED", "ADDED", "CHECK_RESULT"))
 MODES = {
     0: interface.ListMode.FAILED,
@@ -39,8 +40,8 @@
     4: interface.ListMode.CACHED,
 }
 
-# Paths of the settings that ``Settings`` checks, by its own names for them.  Where none is given, the path is
-# the name.
+# For each setting that ``Settings`` checks, by its name there: its path in the configuration file, which
+# error messages show.  A setting that is missing here has the same name in both.
 FILE_NAMES = {
     "gateways": "peers-total",
     "tick_ns": "tick-ns",
@@ -63,7 +64,8 @@
     "plans.burst": "tariffs.most-at-once",
     "plans.ceiling_burst": "tariffs.ceiling-burst",
 }
-# Of a wrong value in an error message: enough to find it, and the message stays one plain line.
+# An error message shows at most so many characters of a wrong value: enough to find it, and the message stays
+# one plain line.
 MAX_SHOWN_CHARS = 40
 
 
