--- a/gingerworks/gateway/__main__.py
+++ b/gingerworks/gateway/__main__.py
@@ -26,10 +26,10 @@
 from gingerworks.gateway.frontend import Frontend
 from gingerworks.gateway.runtime import Runtime
 
-# Sockets set aside for the standard streams, the event loop, the listener, discovery and the counter, with
-# some to spare.
+# This many sockets are set aside for the standard streams, the event loop, the listener, discovery and the
+# counter, with some to spare.
 RESERVED_SOCKETS = 48
-CLIENT_SOCKET_SHARE = 0.55  # of the sockets not reserved, the share for clients; servers get the rest
+CLIENT_SOCKET_SHARE = 0.55  # clients get this share of the sockets not reserved, servers the rest
 # A gateway that starts waits at most this long for discovery's first answer, and for nothing else: the
 # time-out to connect to discovery, and as long again.
 FIRST_LIST_TIMEOUT_S = 1.0
@@ -45,7 +45,7 @@
         self._config = config
         client_sockets = int((config.sockets - RESERVED_SOCKETS) * CLIENT_SOCKET_SHARE)
         server_sockets = config.sockets - RESERVED_SOCKETS - client_sockets
-        self.backends = Backends(loop, config.settings, config.idle_ns, server_sockets)
+        self.backends = Backends(loop, config.settings, config.idle_timeout_ns, server_sockets)
         self.runtime = Runtime(loop, config, self.backends)
         self.frontend = Frontend(loop, self.runtime, config.settings, client_sockets)
         self._watch_task: asyncio.Task[None] | None = None
--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -25,25 +25,25 @@
 from gingerworks.gateway.system_errors import (
     DESCRIPTOR_SHORTAGE,
     RESOURCE_SHORTAGE,
-    RETRYABLE,
+    RETRYABLE_ERRORS,
     describe_error,
 )
 
 # The gateway closes idle connections after this share of the time after which servers close them at the
 # latest.
 IDLE_TIMEOUT_SHARE = 0.4
-MAX_BODY_BYTES = 64 * 1024
-MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # the size of an answer with its head and its framing
+MAX_BODY_BYTES = 64 * 1024  # an answer with a larger body is rejected
+MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # an answer with its head and framing may have this size
 # An answer that has begun must be complete within this time: servers write an answer in one go.
 ANSWER_STALL_S = 0.25
-MAX_INTERIM_ANSWERS = 16  # answers with a 1xx status that may come before the final answer
+MAX_INTERIM_ANSWERS = 16  # a server may send this many answers with a 1xx status before the final answer
 # A server may send a stray second answer some milliseconds after the first one.  A connection is reused only
 # after this time, so that such an answer is seen and not taken for the answer to the next request.
 MIN_IDLE_BEFORE_REUSE_NS = 20 * clock.NS_PER_MS
-MAX_LOAD_REPORT_BYTES = 1024
+MAX_LOAD_REPORT_BYTES = 1024  # longer values of X-Backend-Load are ignored
 HTTP_PREFIX, HTTP_VERSIONS = b"HTTP/", ("1.1", "1.0")
-ANSWER_HEADERS_FOR_CLIENT = (b"content-type", b"content-encoding")  # for the client to read the body
-FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without these an answer ends at the close
+ANSWER_HEADERS_FOR_CLIENT = (b"content-type", b"content-encoding")  # the client needs these to read the body
+FRAMING_HEADERS = (b"content-length", b"transfer-encoding")  # without these, the close ends an answer
 
 log = logging.getLogger(__name__)
 
@@ -87,13 +87,13 @@
         self.headers: list[tuple[bytes, bytes]] = []
         self.billed: float | None = None
         self.report: tuple[tuple[str, float], ...] = ()
-        self.unprocessed = False
+        self.reported_unprocessed = False  # whether the server sent ``X-Unprocessed: 1``
 
     def attempt_status(self) -> interface.Status:
         """The status of the attempt: only a 503 or 504 with ``X-Unprocessed: 1`` proves that it never ran."""
         if self.status == 200:
             return interface.Status.DELIVERED
-        if self.status in (503, 504) and self.unprocessed:
+        if self.status in (503, 504) and self.reported_unprocessed:
             return interface.Status.SHED
         return interface.Status.ERROR
 
@@ -107,7 +107,7 @@
         self.attempt: Attempt | None = attempt
         self.socket: socket.socket | None = None
         self.idle_since_ns = 0
-        self.idle_before_ns: int | None = None  # how long it was idle before this attempt; None for the first
+        self.idle_duration_ns: int | None = None  # the idle time before this attempt; None for the first one
         self.unsent = b""  # the rest of the request, which the kernel has not accepted yet
         self.watching_writable = False
         self.answer = Answer()
@@ -187,7 +187,7 @@
         except OSError as error:
             if error.errno in RESOURCE_SHORTAGE:
                 return self._read_again_later()
-            if error.errno in RETRYABLE:
+            if error.errno in RETRYABLE_ERRORS:
                 return None  # the connection still works; its data stays in the kernel
             data, self.ends_at_close = b"", False  # a reset does not end an answer
         if self.attempt is None:
@@ -261,9 +261,9 @@
         if name in ANSWER_HEADERS_FOR_CLIENT:
             answer.headers.append((name, value))
         elif name == b"x-unprocessed":
-            answer.unprocessed = value == b"1"
+            answer.reported_unprocessed = value == b"1"
         elif name == b"x-settled":
-            answer.billed = self.backends.parse_units(value)
+            answer.billed = self.backends.parse_billed_units(value)
         elif name == b"x-backend-load":
             answer.report = self.backends.parse_report(value)
 
@@ -395,10 +395,10 @@
         if connection.stall_timer is not None:
             connection.stall_timer.cancel()
             connection.stall_timer = None
-        if connection.idle_before_ns is not None:
+        if connection.idle_duration_ns is not None:
             immediate = clock.now() - attempt.started_at_ns < IMMEDIATE_RESET_NS
             self._idle_limit.record(
-                connection.idle_before_ns, status is interface.Status.DROPPED and immediate
+                connection.idle_duration_ns, status is interface.Status.DROPPED and immediate
             )
         if keep and self.accepts_work(connection.endpoint):
             self._keep_idle(connection)
@@ -435,8 +435,8 @@
         if self._idle_timer is not None:
             self._idle_timer.cancel()
 
-    def parse_units(self, value: bytes) -> float | None:
-        """The units that a server states for a request; none if the value is malformed or impossible."""
+    def parse_billed_units(self, value: bytes) -> float | None:
+        """Read the units that a server bills for a request; None if the value is malformed or impossible."""
         units = number_parsing.parse_decimal(value)
         return units if units is not None and 0 < units <= self._settings.max_units else None
 
@@ -474,8 +474,8 @@
         for connection in [c for c in reversed(idle) if now - c.idle_since_ns >= MIN_IDLE_BEFORE_REUSE_NS]:
             idle.remove(connection)
             assert connection.socket is not None
-            connection.idle_before_ns = now - connection.idle_since_ns
-            if connection.idle_before_ns < limit_ns:
+            connection.idle_duration_ns = now - connection.idle_since_ns
+            if connection.idle_duration_ns < limit_ns:
                 # The server may have closed or reset the connection, which the event loop has not seen yet.
                 # An attempt sent on it would count as one that may have run.
                 try:
@@ -514,10 +514,10 @@
             self._logged_shortage = text
             log.warning("cannot connect to servers: %s", text)
         if code in DESCRIPTOR_SHORTAGE:
-            self._close_oldest_idle()
+            self._close_longest_idle()
 
     def _open_new(self, endpoint: Endpoint, attempt: Attempt) -> Connection:
-        if len(self._open) >= self._max_connections and not self._close_oldest_idle():
+        if len(self._open) >= self._max_connections and not self._close_longest_idle():
             text = (
                 f"all {self._max_connections} connections are in use; "
                 "raise limits.sockets or run more gateways"
@@ -550,13 +550,13 @@
             delay_ns = max(clock.NS_PER_MS, first_idle_since_ns + self._max_idle_ns - now)
             self._idle_timer = self.loop.call_later(delay_ns / clock.NS_PER_S, self._close_expired_idle)
 
-    def _close_oldest_idle(self) -> bool:
-        oldest = min(
+    def _close_longest_idle(self) -> bool:
+        longest_idle = min(
             (idle[0] for idle in self._idle.values() if idle), key=lambda c: c.idle_since_ns, default=None
         )
-        if oldest is None:
+        if longest_idle is None:
             return False
-        self.close_connection(oldest)
+        self.close_connection(longest_idle)
         return True
 
 
--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -23,23 +23,23 @@
 from gingerworks.gateway.backend import Answer
 from gingerworks.gateway.connection_owner import ConnectionOwner
 from gingerworks.gateway.requests import MAX_BODY_BYTES, MAX_HEAD_BYTES, Message, RequestRejected
-from gingerworks.gateway.system_errors import RETRYABLE
+from gingerworks.gateway.system_errors import RETRYABLE_ERRORS
 
-# The size limit of one request with its framing: in a body of one-byte chunks, each byte comes with about six
-# bytes of framing.
+# One request with its framing may have at most this size: in a body of one-byte chunks, each byte comes with
+# about six bytes of framing.
 MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BODY_BYTES
 MAX_READ_AHEAD = 1  # reading pauses when more requests than this wait behind the one in flight
-# The time within which a request must arrive whole: from the accept for the first request of a connection,
-# and from its first byte for any further one.
+# A request must arrive whole within this time: from the accept for the first request of a connection, and
+# from its first byte for any further one.
 REQUEST_TIMEOUT_NS = 2 * clock.NS_PER_S
 IDLE_TIMEOUT_NS = 3 * clock.NS_PER_S  # a connection is closed after this long between two requests
 ANSWER_READ_TIMEOUT_NS = 2 * clock.NS_PER_S  # a client that takes longer to read its answer is cut off
-# The number of unread bytes from which on a client's disconnect counts as possibly hidden.  While reading
-# is paused, the kernel's receive buffer may fill up, and a FIN behind it stays unseen.  The buffer holds
+# With this many unread bytes or more, a client's disconnect may be hidden behind them.  While reading is
+# paused, the kernel's receive buffer may fill up, and a FIN behind it stays unseen.  The buffer holds
 # 65,000 to 130,000 bytes by default, and fewer if they come in small segments.
 HIDDEN_DISCONNECT_BYTES = 60 * 1024
-# The number of unread bytes from which on a disconnect counts as possibly hidden once the client had a
-# request rejected: nothing more is read from its connection then.
+# The same limit applies, at this lower number, once the client had a request rejected: nothing more is read
+# from its connection then.
 HIDDEN_DISCONNECT_REJECTED_BYTES = 8 * 1024
 # After a rejection the connection stays half open for this long, so that a client that is still sending can
 # read why its request was rejected.
@@ -85,7 +85,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Called by the transport once the connection can be read and written."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transport doesn't derive from it
-        self.owner.connection_attached()
+        self.owner.transport_attached()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Called by the transport after the close: cancels the request in flight and drops pending ones."""
@@ -338,7 +338,9 @@
         arrived is owed an answer.
         """
         return not (
-            self.pending or self.receiving or (self.owner.keeps_reading() and self.has_unread_input())
+            self.pending
+            or self.receiving
+            or (self.owner.reads_further_requests() and self.has_unread_input())
         )
 
     def has_abandoned_request(self) -> bool:
@@ -435,4 +437,4 @@
         except BlockingIOError:
             return False
         except OSError as error:
-            return error.errno in RETRYABLE
+            return error.errno in RETRYABLE_ERRORS
--- a/gingerworks/gateway/client_table.py
+++ b/gingerworks/gateway/client_table.py
@@ -86,12 +86,14 @@
         """
         if self.evicted:
             return  # the end of connections evicted before will make room
-        # The time of grace is over for connections that have been in their state since then or longer.
-        grace_began_by_ns = clock.now() - EVICTION_GRACE_NS
-        if self._evict(client for client in self.closing if client.state_since_ns <= grace_began_by_ns):
+        # A connection's time of grace is over if it has been in its state since this moment or longer.
+        latest_evictable_since_ns = clock.now() - EVICTION_GRACE_NS
+        if self._evict(
+            client for client in self.closing if client.state_since_ns <= latest_evictable_since_ns
+        ):
             return
         silent = [client for client in self.new if not client.receiving]
-        if self._evict(client for client in silent if client.state_since_ns <= grace_began_by_ns):
+        if self._evict(client for client in silent if client.state_since_ns <= latest_evictable_since_ns):
             return
         if 2 * len(silent) > self.budget or self._evict(client for client in self.idle if client.is_idle()):
             return
@@ -100,7 +102,7 @@
             for client in [*self.new, *self.idle]
             if client.receiving
             and not client.has_unsent_output()
-            and client.state_since_ns <= grace_began_by_ns
+            and client.state_since_ns <= latest_evictable_since_ns
         )
 
     def _evict(self, candidates: Iterable[ClientConnection]) -> bool:
--- a/gingerworks/gateway/config.py
+++ b/gingerworks/gateway/config.py
@@ -33,7 +33,7 @@
     seed: int
     sockets: int
     known: object
-    idle_ns: int
+    idle_timeout_ns: int  # servers close idle connections after this long at the latest
     settings: interface.Settings
 
 
@@ -76,10 +76,10 @@
     fields = wire.Fields(f"{path}={value}" for path, value in flatten(raw["settings"]))
     try:
         settings = wire.settings_from(fields)
-        idle_ns = fields.integer("limits.conn-idle-ns", "15000000000")
+        idle_timeout_ns = fields.integer("limits.conn-idle-ns", "15000000000")
     except ValueError as error:
         raise ConfigError(str(error)) from None
-    if idle_ns <= 0:
+    if idle_timeout_ns <= 0:
         raise ConfigError("settings: limits.conn-idle-ns is out of range")
     if settings.has_counter and not raw.get("counter"):
         raise ConfigError("counter is missing")
@@ -103,7 +103,7 @@
         seed=seed,
         sockets=sockets,
         known=raw.get("known"),
-        idle_ns=idle_ns,
+        idle_timeout_ns=idle_timeout_ns,
         settings=settings,
     )
 
--- a/gingerworks/gateway/connection_owner.py
+++ b/gingerworks/gateway/connection_owner.py
@@ -32,8 +32,8 @@
     def backlog_empty_at_ns(self) -> int:
         """When the listen backlog was last found empty: no connection accepted since is older."""
 
-    def connection_attached(self) -> None:
-        """An accepted connection has its transport now."""
+    def transport_attached(self) -> None:
+        """The event loop has given an accepted connection its transport, so it can be closed now."""
 
     def request_started(self, client: Connection) -> None:
         """A request is being handled on this connection."""
@@ -59,5 +59,5 @@
     def reserve_body_bytes(self, size: int) -> bool:
         """Count body bytes in memory, or release them (``size`` below 0); False if that exceeds the limit."""
 
-    def keeps_reading(self) -> bool:
-        """During shutdown: whether further requests on open connections are still read."""
+    def reads_further_requests(self) -> bool:
+        """During shutdown: whether the gateway still reads further requests from open connections."""
--- a/gingerworks/gateway/counter.py
+++ b/gingerworks/gateway/counter.py
@@ -24,17 +24,17 @@
 from gingerworks.gateway.read_retry import retry_read_later
 from gingerworks.gateway.system_errors import (
     RESOURCE_SHORTAGE,
-    RETRYABLE,
+    RETRYABLE_ERRORS,
     SHORTAGE_RETRY_DELAY_S,
     describe_error,
 )
 
 # A connection that was idle for longer than this is replaced before a call: the counter may be closing it.
 MAX_IDLE_NS = 3 * clock.NS_PER_S
-# If calls are in flight and no answer at all comes for this many times the wait for one call, the counter is
-# taken for unreachable, and the connection is closed.
+# If calls are in flight and no answer at all comes for this many times the time-out of one call, the counter
+# is taken for unreachable, and the connection is closed.
 SILENT_AFTER_WAITS = 2.0
-CONNECT_TIMEOUT_S = 0.25
+CONNECT_TIMEOUT_S = 0.25  # an attempt to connect to the counter fails after this long
 # The mean delay before connecting again after a failure; it doubles with each failure in a row, from the
 # minimum to the maximum.  Each delay is spread at random around its mean.
 MIN_RECONNECT_DELAY_NS = 50 * clock.NS_PER_MS
@@ -49,11 +49,11 @@
 class Call:
     """One call; it keeps its place in the order of the answers after it has timed out."""
 
-    __slots__ = ("action", "awaits_result", "line", "sent_bytes", "started_ns", "timer")
+    __slots__ = ("action", "awaits_result", "line", "sent_bytes", "started_at_ns", "timer")
 
-    def __init__(self, action: interface.Count, started_ns: int) -> None:
+    def __init__(self, action: interface.Count, started_at_ns: int) -> None:
         self.action = action
-        self.started_ns = started_ns
+        self.started_at_ns = started_at_ns  # when the policy made the call
         self.awaits_result = True  # the call's ``Counted`` event has not been reported yet
         lifetime_ms = min(MAX_LIFETIME_MS, max(1, action.ttl_ns // clock.NS_PER_MS))
         self.line = f"bump {action.name} {action.amount:.7f} {lifetime_ms}\r\n".encode()
@@ -73,14 +73,14 @@
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
-        wait_ns: int,
+        answer_timeout_ns: int,
         seed: int,
         on_result: Callable[[interface.Counted], None],
     ) -> None:
-        """A call waits ``wait_ns`` for its answer; the first call or ``connect`` opens the connection."""
+        """Calls time out after ``answer_timeout_ns``; the first call or ``connect`` opens the connection."""
         self._loop = loop
         self._address = address
-        self._wait_s = wait_ns / clock.NS_PER_S
+        self._answer_timeout_s = answer_timeout_ns / clock.NS_PER_S
         self._on_result = on_result
         self._rng = random.Random(seed)
         self._socket: socket.socket | None = None
@@ -88,7 +88,7 @@
         self._calls: deque[Call] = deque()  # calls without an answer, in the order of their answers
         self._unsent: deque[Call] = deque()  # calls whose line is not fully sent yet
         self._input = b""
-        self._last_used_ns = self._last_received_ns = 0
+        self._last_used_at_ns = self._last_received_at_ns = 0
         self._reconnect_delay_ns = MIN_RECONNECT_DELAY_NS
         self._reconnect_at_ns = 0
         # Calls made before ``_reconnect_at_ns`` end with this status.
@@ -111,7 +111,7 @@
         """Make a call; the calls of one turn of the event loop are written together."""
         now = clock.now()
         call = Call(action, now)
-        if self._socket is not None and not self._calls and now - self._last_used_ns > MAX_IDLE_NS:
+        if self._socket is not None and not self._calls and now - self._last_used_at_ns > MAX_IDLE_NS:
             self._close()  # the counter may be closing the idle connection: the call would be lost in it
         if self._socket is None and self._dial is None:
             if now >= self._reconnect_at_ns:
@@ -120,7 +120,7 @@
                 return self._finish_call(call, self._status_until_reconnect)
         if len(self._calls) >= MAX_CALLS_IN_FLIGHT:
             return self._finish_call(call, interface.Status.SHED)
-        call.timer = self._loop.call_later(self._wait_s, self._on_call_timeout, call)
+        call.timer = self._loop.call_later(self._answer_timeout_s, self._on_call_timeout, call)
         self._calls.append(call)
         self._unsent.append(call)
         if self._socket is not None and not self._flush_scheduled:
@@ -151,7 +151,7 @@
             return self._on_connect_failed(DialError.from_errno(DialFailure.LOCAL, error.errno or 0))
         self._socket = sock
         self._reconnect_delay_ns, self._logged_reason = MIN_RECONNECT_DELAY_NS, ""
-        self._last_used_ns = clock.now()
+        self._last_used_at_ns = clock.now()
         return self._flush()
 
     def _on_connect_failed(self, error: DialError) -> None:
@@ -184,7 +184,7 @@
                 return self._retry_flush_later()
             log.info("counter: connection lost: %s", describe_error(error.errno or 0))
             return self._handle_connection_loss()
-        self._last_used_ns = clock.now()
+        self._last_used_at_ns = clock.now()
         self._count_sent_bytes(sent_bytes)
         return self._set_awaits_writable(bool(self._unsent))
 
@@ -225,12 +225,12 @@
         except OSError as error:
             if error.errno in RESOURCE_SHORTAGE:
                 return self._retry_read_later()
-            if error.errno in RETRYABLE:
+            if error.errno in RETRYABLE_ERRORS:
                 return None  # the connection is intact, and the data stays in the kernel
             data = b""
         if not data:
             return self._handle_connection_loss()
-        self._last_used_ns = self._last_received_ns = clock.now()
+        self._last_used_at_ns = self._last_received_at_ns = clock.now()
         self._has_received = True
         *lines, self._input = (self._input + data).split(b"\n")
         for line in lines:
@@ -284,8 +284,8 @@
         # If the connection has gone silent, close it, or one call after the other would wait in vain.  If its
         # answers are only late, as from a busy counter, keep it: calls would be late on any connection.
         if self._socket is not None and self._calls and self._calls[0].is_fully_sent:
-            silent_ns = clock.now() - max(self._last_received_ns, self._calls[0].started_ns)
-            if silent_ns > SILENT_AFTER_WAITS * self._wait_s * clock.NS_PER_S:
+            silence_duration_ns = clock.now() - max(self._last_received_at_ns, self._calls[0].started_at_ns)
+            if silence_duration_ns > SILENT_AFTER_WAITS * self._answer_timeout_s * clock.NS_PER_S:
                 log.info("counter: no answers on the open connection; closing it")
                 self._handle_connection_loss()
         self._close_if_retired_and_idle()
@@ -296,7 +296,7 @@
         call.awaits_result = False
         if call.timer is not None:
             call.timer.cancel()
-        self._on_result(interface.Counted(call.action.name, status, total, clock.now() - call.started_ns))
+        self._on_result(interface.Counted(call.action.name, status, total, clock.now() - call.started_at_ns))
 
     def _handle_connection_loss(self) -> None:
         """Close a connection that broke or could not be opened; a later call opens a new one."""
--- a/gingerworks/gateway/discovery.py
+++ b/gingerworks/gateway/discovery.py
@@ -42,22 +42,24 @@
 # While the first line of an answer is incomplete, the gateway waits at least this long after the last bytes
 # received.  It need not be longer, as the discovery agent writes that line in one go.
 LINE_STALL_TIMEOUT_S = 0.5
-# The time-out of one more read after a read has timed out: an event loop that was delayed runs its timers
-# before it reads data that had arrived in time.
+# After a read has timed out, one more read with this time-out follows: an event loop that was delayed runs
+# its timers before it reads data that had arrived in time.
 FINAL_READ_S = 0.02
 CONNECT_TIMEOUT_S = 0.5  # short, as the discovery agent runs on this machine
-# Mean delay before a watch is opened again, unless it was refused.  It is short because the gateway is
-# expected to know what the agent knows, and a draining server may have a grace period of only 0.25 s.
+# This is the mean delay before a watch is opened again, unless it was refused.  It is short because the
+# gateway is expected to know what the agent knows, and a draining server may have a grace period of only
+# 0.25 s.
 REOPEN_DELAY_S = 0.05
-LOOP_DELAY_S = 0.1  # the allowance for delays in a busy event loop
+LOOP_DELAY_S = 0.1  # a busy event loop is assumed to add at most this delay
+# After a refusal, the next request is delayed by at most this, to keep to ``CHANGE_DEADLINE_S``.
 MAX_REFUSED_DELAY_S = CHANGE_DEADLINE_S - CONNECT_TIMEOUT_S - ANSWER_TIMEOUT_S - LOOP_DELAY_S
 # The upper bound of the first delay after a refusal grows by this much with each gateway of the fleet.  It
 # is each request's share of discovery's time, so all gateways together send about one request in it.
 REFUSED_DELAY_PER_GATEWAY_S = 0.1
 MIN_REFUSED_DELAY_BOUND_S = 0.4  # the upper bound of the first delay after a refusal is at least this
 MAX_LINE_BYTES = 1 << 20  # enough for thousands of servers in one line
-MAX_SERVERS = 4096
-MAX_INDEX = 1 << 53  # versions of the list are below this: JSON numbers are exact up to here
+MAX_SERVERS = 4096  # a list with more entries is rejected
+MAX_LIST_VERSION = 1 << 53  # a list's version (``index``) must be below this: JSON numbers are exact up to it
 
 PHASES = {
     "Ready": interface.Phase.READY,
@@ -83,7 +85,7 @@
 class Change:
     """A version of the list: all entries (``full``), or those that changed."""
 
-    index: int
+    index: int  # the version of the list
     full: bool
     endpoints: tuple[Endpoint, ...]
 
@@ -93,7 +95,7 @@
     if not isinstance(raw, dict) or not isinstance(raw.get("endpoints"), list):
         raise ValueError("not a list of endpoints")
     index = raw.get("index")
-    if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < MAX_INDEX:
+    if not isinstance(index, int) or isinstance(index, bool) or not 0 <= index < MAX_LIST_VERSION:
         raise ValueError("index is not a whole number")
     if len(raw["endpoints"]) > MAX_SERVERS:
         raise ValueError("too many endpoints")
@@ -263,9 +265,9 @@
                 False,
             )
             parser = httptools.HttpResponseParser(self)
-            requested_at = time()
+            requested_at_s = time()
             while not self._response_ended:
-                data = await self._read(reader, self._read_timeout_s(time() - requested_at))
+                data = await self._read(reader, self._read_timeout_s(time() - requested_at_s))
                 if not data:
                     return
                 parser.feed_data(data)
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -27,8 +27,8 @@
 from gingerworks.gateway.shutdown import GracefulShutdown, ShutdownPhase
 from gingerworks.gateway.system_errors import CONNECTION_NOT_ACCEPTED, RESOURCE_SHORTAGE, describe_error
 
-HEALTH_PATH = b"/_health"
-BACKLOG = 4096
+HEALTH_PATH = b"/_health"  # the gateway answers a GET of this path itself
+BACKLOG = 4096  # the most connections that the kernel queues before they are accepted
 READ_BUFFER_BYTES = 16 * 1024  # the most that one read takes from one client
 MAX_HELD_BODY_BYTES = 8 << 20  # the most that the request bodies of all clients may take in memory
 ACCEPTS_PER_TURN = 64  # the most connections accepted in one turn of the event loop
@@ -250,7 +250,7 @@
         self._watch_listener()
         self.clients.close_idle()
         self._call_after_ns(self._shutdown.accept_remaining_ns(now), self._close_listener)
-        self._call_after_ns(schedule.answers_due_ns - now, self._answers_due)
+        self._call_after_ns(schedule.answers_due_ns - now, self._reject_after_answers_due)
         self._call_after_ns(schedule.exit_due_ns - now, self._finish)
 
     def _call_after_ns(self, delay_ns: int, callback: Callable[[], None]) -> None:
@@ -279,14 +279,14 @@
             self._listener = None
             self._shutdown.listener_closed()
 
-    def connection_attached(self) -> None:
-        """An accepted connection has its transport now, and could be closed if it is idle."""
+    def transport_attached(self) -> None:
+        """The event loop has given an accepted connection its transport, so it can be closed if idle."""
         if self.shutting_down:
             self._check_drained()
 
-    def keeps_reading(self) -> bool:
-        """During shutdown: whether further requests on open connections are still read."""
-        return self._shutdown.keeps_reading(clock.now())
+    def reads_further_requests(self) -> bool:
+        """During shutdown: whether the gateway still reads further requests from open connections."""
+        return self._shutdown.reads_further_requests(clock.now())
 
     def _check_drained(self) -> None:
         """Once the listener is closed, finish as soon as no connection is left.
@@ -309,14 +309,14 @@
         self.clients.reject_incomplete()
         self._check_drained()
 
-    def _answers_due(self) -> None:
-        """Every request has its answer by now; reject what still comes, again and again until the exit."""
+    def _reject_after_answers_due(self) -> None:
+        """Reject what is incomplete and close idle connections, repeatedly, once all answers are due."""
         if self._shutdown.phase is ShutdownPhase.FINISHED:
             return
         self._shutdown.answers_due()
         self.clients.reject_incomplete()
         self.clients.close_idle()
-        self.loop.call_later(ACCEPT_PAUSE_S, self._answers_due)
+        self.loop.call_later(ACCEPT_PAUSE_S, self._reject_after_answers_due)
 
     def _finish(self) -> None:
         self._stop_listening()
--- a/gingerworks/gateway/idle_limit.py
+++ b/gingerworks/gateway/idle_limit.py
@@ -17,10 +17,14 @@
 # before.
 IMMEDIATE_RESET_NS = 10 * clock.NS_PER_MS
 MIN_RECORDED_IDLE_NS = 50 * clock.NS_PER_MS  # resets after a shorter idle time have other causes
-GAIN = 0.25  # weight of a new result in the moving average of the reset rate
-MAX_RESET_RATE = 0.2  # low, as a new connection costs little and a lost request costs much
+GAIN = 0.25  # a new result has this weight in the moving average of the reset rate
+# Connections are not reused after idle times with a reset rate above this.  It is low, as a new connection
+# costs little and a lost request costs much.
+MAX_RESET_RATE = 0.2
 DECAY_NS = 30 * clock.NS_PER_S  # old results fade with this time constant
-BUCKETS = 24  # ranges of idle times: the first is up to 1 ms, each further one ends at twice the time
+# Idle times are divided into this many ranges: the first is up to 1 ms, each further one ends at twice the
+# time.
+BUCKETS = 24
 
 
 class IdleLimitEstimator:
--- a/gingerworks/gateway/number_parsing.py
+++ b/gingerworks/gateway/number_parsing.py
@@ -9,7 +9,8 @@
 import math
 import re
 
-# May follow a header's value without being a part of it (RFC 9110, 5.5); the parser keeps it.
+# These characters may follow a header's value without being a part of it (RFC 9110, 5.5); the parser keeps
+# them.
 OPTIONAL_WHITESPACE = b" \t"
 
 _WHOLE = re.compile(rb"[0-9]{1,18}")
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -12,10 +12,10 @@
 from gingerworks import interface
 from gingerworks.gateway import clock, number_parsing
 
-MAX_HEAD_BYTES = 16 * 1024
-MAX_BODY_BYTES = 64 * 1024
-MAX_REMEMBERED_IDS = 50_000  # bounds the memory: if more ids come in, the older half is forgotten early
-CUSTOMER_ID_LIMIT = 1 << 33
+MAX_HEAD_BYTES = 16 * 1024  # a request with a larger head is rejected
+MAX_BODY_BYTES = 64 * 1024  # a request with a larger body is rejected
+MAX_REMEMBERED_IDS = 50_000  # this bounds the memory: beyond it, the older half is forgotten early
+CUSTOMER_ID_LIMIT = 1 << 33  # customers' ids are below this
 MAX_TIME_LEFT_S = 3600.0  # a longer time in X-Time-Left counts as this one
 HTTP_VERSIONS = ("1.1", "1.0")
 
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -29,8 +29,9 @@
 # A request is answered this much before its client stops waiting, which leaves time for the network and for
 # delays in a busy event loop.
 ANSWER_MARGIN_NS = 20 * clock.NS_PER_MS
-UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS  # advice to a client whose request was not sent to a server
-ANSWER_MARGIN_SHARE = 0.25  # the most that ``ANSWER_MARGIN_NS`` may take of a request's remaining time
+# A client whose request was not sent to a server is advised to send it again after this long.
+UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS
+ANSWER_MARGIN_SHARE = 0.25  # the margin is at most this share of a request's remaining time
 
 log = logging.getLogger(__name__)
 
@@ -81,7 +82,7 @@
         self.attempts: list[Attempt | None] = []  # by attempt number; None for each that has ended
         self.open_attempts = 0
         self.may_have_run = False  # whether an attempt of this request may have run on a server
-        self.deadline_ns = deadline_ns  # the client's deadline, or the shutdown's if sooner
+        self.deadline_ns = deadline_ns  # the moment of the client's deadline, or the shutdown's if sooner
 
     def remaining_ns(self) -> int:
         """The time until the deadline."""
@@ -195,14 +196,16 @@
         """Apply a server list or a change of it, from discovery or (if ``cached``) the configuration."""
         change = self._server_start_times.correct_start_times(change, cached)
         self._backends.update_servers(change)
-        mode = (
+        list_mode = (
             interface.ListMode.CACHED
             if cached
             else interface.ListMode.FULL
             if change.full
             else interface.ListMode.DELTA
         )
-        self._post(interface.ServersChanged(mode, tuple(endpoint.server for endpoint in change.endpoints)))
+        self._post(
+            interface.ServersChanged(list_mode, tuple(endpoint.server for endpoint in change.endpoints))
+        )
 
     def _post(self, event: interface.Event | RequestSubmitted) -> None:
         """Queue an event; the policy gets all events of one turn of the event loop at once."""
@@ -406,12 +409,12 @@
         The event loop's clock is coarse and may fire early, while the policy sets each timer only once and
         must not get its event before it is due.
         """
-        until_due_ns = due_ns - clock.now()
-        if until_due_ns <= 0:
+        delay_ns = due_ns - clock.now()
+        if delay_ns <= 0:
             self._post(interface.Timer(token))
         else:
             self._loop.call_later(
-                math.ceil(until_due_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
+                math.ceil(delay_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
             )
 
     def _call_counter(self, action: interface.Count) -> None:
--- a/gingerworks/gateway/server_starts.py
+++ b/gingerworks/gateway/server_starts.py
@@ -1,6 +1,6 @@
 """When each server started, on this gateway's own clock.
 
-Discovery states start times as wall-clock times, in ``since_ms``.  If this machine's wall clock was stepped
+Discovery reports start times as Unix times, in ``since_ms``.  If this machine's wall clock was stepped
 before the gateway started, they are wrong by that step: with a clock that is ahead, a cold server looks
 warm.  So a server whose start is new in a later list than the first counts as started at the moment when this
 gateway learned of it, whatever ``since_ms`` says; that is never too early.  For the servers of the first
@@ -20,20 +20,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """One start of a server: as discovery states it, and on this gateway's clock; 0 means long ago."""
+    """When a server last started, by two clocks; a time of 0 means long ago."""
 
-    stated_ns: int
-    local_ns: int
+    reported_start_at_ns: int  # the Unix time that discovery reports
+    local_start_at_ns: int  # the time on this gateway's clock, at which the server counts as started
 
 
 class ServerStarts:
-    """Remembers the start of each server, so that each stated time is converted only once."""
+    """Remembers when each server started; a later list that reports the same start does not change this."""
 
     def __init__(self) -> None:
         self._listed: dict[str, Start] = {}
         self._unlisted: dict[str, Start] = {}  # servers that left the list; they may return without a restart
         self._discovery_answered = False  # once true, a new start happened while this gateway ran
-        self._new_stated_ns: list[int] = []  # stated times of the starts that are new in the current list
+        self._new_reported_starts_at_ns: list[int] = []  # reported times of the current list's new starts
         self.clock_check = ClockCheck()
 
     def correct_start_times(self, change: Change, cached: bool) -> Change:
@@ -43,12 +43,12 @@
         new in discovery's first list may have happened before this gateway ran.
         """
         now = clock.now()
-        self._new_stated_ns = []
+        self._new_reported_starts_at_ns = []
         if change.full:
             self._mark_unlisted(self._listed.keys() - {endpoint.server.name for endpoint in change.endpoints})
         endpoints = tuple(self._correct_start_time(endpoint, now) for endpoint in change.endpoints)
         self._discovery_answered = self._discovery_answered or not cached
-        self.clock_check.check_starts(self._new_stated_ns, now)
+        self.clock_check.check_starts(self._new_reported_starts_at_ns, now)
         return replace(change, endpoints=endpoints)
 
     def _correct_start_time(self, endpoint: Endpoint, now: int) -> Endpoint:
@@ -58,21 +58,21 @@
             return endpoint
         start = self._find_start(server, now)
         self._listed[server.name] = start
-        if start.local_ns == server.started_ns:
+        if start.local_start_at_ns == server.started_ns:
             return endpoint
-        return replace(endpoint, server=replace(server, started_ns=start.local_ns))
+        return replace(endpoint, server=replace(server, started_ns=start.local_start_at_ns))
 
     def _find_start(self, server: interface.Server, now: int) -> Start:
-        stated_ns = server.started_ns
+        reported_start_at_ns = server.started_ns
         known_start = self._listed.get(server.name) or self._unlisted.pop(server.name, None)
-        if known_start is not None and stated_ns in (0, known_start.stated_ns):
+        if known_start is not None and reported_start_at_ns in (0, known_start.reported_start_at_ns):
             return known_start  # "long ago" says nothing new about a start that is known
-        if stated_ns == 0:
+        if reported_start_at_ns == 0:
             return Start(0, 0)
         if not self._discovery_answered:
-            return Start(stated_ns, min(stated_ns, now))
-        self._new_stated_ns.append(stated_ns)
-        return Start(stated_ns, now)
+            return Start(reported_start_at_ns, min(reported_start_at_ns, now))
+        self._new_reported_starts_at_ns.append(reported_start_at_ns)
+        return Start(reported_start_at_ns, now)
 
     def _mark_unlisted(self, names: Set[str]) -> None:
         for name in sorted(names):
--- a/gingerworks/gateway/shutdown.py
+++ b/gingerworks/gateway/shutdown.py
@@ -36,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The times of one shutdown, in nanoseconds of the gateway's clock."""
+    """The moments of one shutdown, in nanoseconds of the gateway's clock."""
 
-    started_ns: int
-    accept_until_ns: int
-    answers_due_ns: int
-    exit_due_ns: int
+    started_at_ns: int
+    accept_until_ns: int  # new connections are accepted until this moment
+    answers_due_ns: int  # every request must have its answer by this moment
+    exit_due_ns: int  # the process must begin to exit by this moment
 
     @classmethod
-    def starting_at(cls, started_ns: int, classes: Iterable[interface.RequestClass]) -> ShutdownSchedule:
+    def starting_at(cls, started_at_ns: int, classes: Iterable[interface.RequestClass]) -> ShutdownSchedule:
         """The schedule of a shutdown that starts at this time, for requests of these classes."""
         longest_ns = min(MAX_COUNTED_DEADLINE_NS, max(request_class.deadline_ns for request_class in classes))
-        exit_due_ns = started_ns + longest_ns + KILL_DELAY_NS - EXIT_MARGIN_NS
+        exit_due_ns = started_at_ns + longest_ns + KILL_DELAY_NS - EXIT_MARGIN_NS
         answers_due_ns = exit_due_ns - STALL_ALLOWANCE_NS
-        accept_until_ns = min(started_ns + MAX_ACCEPT_NS, answers_due_ns)
-        return cls(started_ns, accept_until_ns, answers_due_ns, exit_due_ns)
+        accept_until_ns = min(started_at_ns + MAX_ACCEPT_NS, answers_due_ns)
+        return cls(started_at_ns, accept_until_ns, answers_due_ns, exit_due_ns)
 
 
 class GracefulShutdown:
@@ -60,7 +60,7 @@
         self.phase = ShutdownPhase.SERVING
         self._classes = tuple(classes)
         self._schedule: ShutdownSchedule | None = None
-        self._last_accept_ns = 0
+        self._last_accepted_at_ns = 0
 
     @property
     def started(self) -> bool:
@@ -78,16 +78,16 @@
         assert self.phase is ShutdownPhase.SERVING
         self.phase = ShutdownPhase.ACCEPTING
         self._schedule = ShutdownSchedule.starting_at(now_ns, self._classes)
-        self._last_accept_ns = now_ns
+        self._last_accepted_at_ns = now_ns
         return self._schedule
 
     def connection_accepted(self, now_ns: int) -> None:
         """A new connection was accepted."""
-        self._last_accept_ns = now_ns
+        self._last_accepted_at_ns = now_ns
 
     def accept_remaining_ns(self, now_ns: int) -> int:
         """How long to wait for new connections; 0 once the listener may be closed."""
-        until_ns = min(self._last_accept_ns + QUIET_PERIOD_NS, self.schedule.accept_until_ns)
+        until_ns = min(self._last_accepted_at_ns + QUIET_PERIOD_NS, self.schedule.accept_until_ns)
         return max(0, until_ns - now_ns)
 
     def listener_closed(self) -> None:
@@ -104,6 +104,6 @@
         """Every request is answered and every connection closed, or the process has to exit."""
         self.phase = ShutdownPhase.FINISHED
 
-    def keeps_reading(self, now_ns: int) -> bool:
+    def reads_further_requests(self, now_ns: int) -> bool:
         """Whether further requests on open connections are still read, if only to be refused."""
         return now_ns < self.schedule.exit_due_ns
--- a/gingerworks/gateway/system_errors.py
+++ b/gingerworks/gateway/system_errors.py
@@ -12,16 +12,18 @@
 
 # This process or this host has no file descriptors left.  Closing an idle connection frees one.
 DESCRIPTOR_SHORTAGE = frozenset({errno.EMFILE, errno.ENFILE})
-# This host is temporarily out of descriptors, buffers or memory; it says nothing about the peer.
+# This host is temporarily out of descriptors, buffers or memory; the error says nothing about the peer.
 RESOURCE_SHORTAGE = DESCRIPTOR_SHORTAGE | {errno.ENOBUFS, errno.ENOMEM}
 
-SHORTAGE_RETRY_DELAY_S = 0.01  # before repeating a read or write that failed for lack of buffers
+SHORTAGE_RETRY_DELAY_S = 0.01  # a read or write that failed for lack of buffers is repeated after this long
 
-# The call had no effect, and the same call may succeed later on the same connection.
-RETRYABLE = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
+# After these errors of a read or write, the call had no effect, and the same call may succeed later on the
+# same connection.
+RETRYABLE_ERRORS = frozenset({errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
-# accept(2): errors of the connection that was to be accepted, not of the listener.  That connection is lost,
-# but others may wait behind it; the manual page says to treat these errors "like EAGAIN by retrying".
+# These errors of accept(2) concern the connection that was to be accepted, not the listener.  That connection
+# is lost, but others may wait behind it; the manual page says to treat these errors "like EAGAIN by
+# retrying".
 CONNECTION_NOT_ACCEPTED = frozenset(
     {
         errno.ECONNABORTED,
@@ -39,7 +41,7 @@
     }
 )
 
-# connect(2): this host sent nothing, or its own firewall blocked it.
+# After these errors of connect(2), this host has sent nothing, or its own firewall blocked it.
 LOCAL_CONNECT_ERRORS = RESOURCE_SHORTAGE | {
     errno.EACCES,
     errno.EADDRINUSE,
--- a/tests/test_gateway_counter.py
+++ b/tests/test_gateway_counter.py
@@ -78,7 +78,7 @@
         client.call(call(1))
         await wait_until(lambda: len(results) == 1)
         assert results[0].status is interface.Status.EXPIRED
-        client._wait_s = 20.0
+        client._answer_timeout_s = 20.0
         client.call(call(1))
         late.set()
         await wait_until(lambda: len(results) == 2)
@@ -197,11 +197,11 @@
         await wait_until_connected(client)
         client.call(call(1))
         await wait_until(lambda: client._calls[0].is_fully_sent)
-        client._calls[0].started_ns -= 60_000_000_000
-        client._last_received_ns = clock.now()
+        client._calls[0].started_at_ns -= 60_000_000_000
+        client._last_received_at_ns = clock.now()
         client._on_call_timeout(client._calls[0])
         assert client._socket is not None
-        client._last_received_ns -= 60_000_000_000
+        client._last_received_at_ns -= 60_000_000_000
         client._on_call_timeout(client._calls[0])
         assert client._socket is None
 
@@ -214,7 +214,7 @@
         client, results = make_counter_client(peer.address)
         client.call(call(1))
         await wait_until(lambda: len(results) == 1)
-        client._last_used_ns -= 60_000_000_000
+        client._last_used_at_ns -= 60_000_000_000
         client.call(call(2))
         await wait_until(lambda: len(results) == 2)
         assert peer.connections == 2
--- a/tests/test_system_call_faults.py
+++ b/tests/test_system_call_faults.py
@@ -904,7 +904,7 @@
         counter_client.call(counter_call(2))
         await wait_until(lambda: len(answers) == 2)
         assert {answer.status for answer in answers} == {interface.Status.DIAL_FAILED}
-        counter_client._wait_s = 20.0
+        counter_client._answer_timeout_s = 20.0
         faults.replace_faults([])
         counter_client.call(counter_call(3))
         await wait_until(lambda: len(answers) == 3)
@@ -930,7 +930,7 @@
             1: interface.Status.EXPIRED,
             2: interface.Status.DIAL_FAILED,
         }
-        counter_client._wait_s = 20.0
+        counter_client._answer_timeout_s = 20.0
         faults.replace_faults([])
         counter_client.call(counter_call(3))
         await wait_until(lambda: len(answers) == 3)
