--- a/gingerworks/policy/clock_sync.py
+++ b/gingerworks/policy/clock_sync.py
@@ -37,43 +37,45 @@
 
 BEACON_LIFETIME_NS = 500 * MS  # the counter forgets the beacon count this long after its creation
 BEACON_RESOLUTION_NS = 100 * MS  # a beacon's time is rounded to this: totals are exact to seven digits only
-BEACON_AMOUNT = 200_000  # added by each beacon, on top of its time within the lap in BEACON_RESOLUTION_NS
-MAX_BEACONS = BEACON_AMOUNT // (LAP_NS // BEACON_RESOLUTION_NS)  # more in one total cannot be told apart
-MAX_BEACON_DELAY_NS = 150 * MS  # assumed limit from the writing of a beacon to its processing by the counter
+BEACON_AMOUNT = 200_000  # each beacon adds this and its time within the lap in BEACON_RESOLUTION_NS
+MAX_BEACONS = BEACON_AMOUNT // (LAP_NS // BEACON_RESOLUTION_NS)  # a total of more beacons is ambiguous
+MAX_BEACON_DELAY_NS = 150 * MS  # the counter is assumed to process a beacon within this time of its writing
 MAX_SLEW_NS = 500 * MS  # a clock that has to be moved by more is not in agreement
-READ_COUNT_LIFETIME_NS = MS  # short: a count created by a read must not expire early for a later addition
-LOCK_LIFETIME_NS = SECOND  # long enough for the gateway that holds the lock to send the first beacon
+READ_COUNT_LIFETIME_NS = MS  # a count created by a read ends soon, or a later addition would expire early
+LOCK_LIFETIME_NS = SECOND  # the lock lives long enough for its holder to send the first beacon
 PRESENCE_TURN_NS = COUNT_TTL_NS // 2  # gateways renew one presence count for so long, then the other one
 BEACONS_PER_RENEWAL = 4  # a gateway renews a presence count before every fourth of its beacons
 ALONE_AFTER_BEACONS = 2  # a gateway assumes that it is alone after so many own beacons that met no other one
-TAKEOVER_READS = 10  # reads without a beacon before the time is set in spite of stale presence counts
-FIRST_AGREEMENT_RENEWALS = 10  # mean number of gateways that renew presence when a fleet first agrees
-
-BEACON_READ_INTERVAL_NS = 400 * MS  # between reads of a gateway that is not in agreement, in a small fleet
-BEACON_READ_INTERVAL_PER_GATEWAY_NS = 5 * MS  # large fleet: two hundred reads a second by all gateways
-MAX_BEACON_READ_BACKOFF_NS = 2 * SECOND  # longest read interval of a small fleet if the counter is silent
-BEACON_INTERVAL_PER_GATEWAY_NS = 100 * MS  # ten beacons a second by all gateways of a medium-sized fleet
-MAX_BEACON_INTERVAL_LARGE_NS = 10 * SECOND  # between the beacons of one gateway of a large fleet
-BEACON_INTERVAL_PER_GATEWAY_HUGE_NS = 50 * MS  # twenty beacons a second by all gateways of a huge fleet
-MAX_BEACON_INTERVAL_SMALL_NS = 3 * SECOND  # between the beacons of one gateway of a small fleet
-MAX_FIRST_BEACON_DELAY_NS = 3 * SECOND  # after coming into agreement: others may wait for the first beacon
-ALONE_INTERVAL_NS = SECOND  # between the beacons of a gateway that assumes that it is alone
-SET_TIME_DELAY_AFTER_OUTAGE_NS = 2 * ALONE_INTERVAL_NS  # by then, any others have sent beacons again
+TAKEOVER_READS = 10  # the time is set despite stale presence counts only after so many reads without a beacon
+FIRST_AGREEMENT_RENEWALS = 10  # when a fleet first agrees, so many gateways on average renew presence
+
+BEACON_READ_INTERVAL_NS = 400 * MS  # a gateway not in agreement reads this often in a small fleet
+BEACON_READ_INTERVAL_PER_GATEWAY_NS = 5 * MS  # a large fleet makes two hundred reads a second in all
+MAX_BEACON_READ_BACKOFF_NS = 2 * SECOND  # a small fleet reads at least this often if the counter is silent
+BEACON_INTERVAL_PER_GATEWAY_NS = 100 * MS  # a medium-sized fleet sends ten beacons a second in all
+MAX_BEACON_INTERVAL_LARGE_NS = 10 * SECOND  # each gateway of a large fleet sends a beacon at least this often
+BEACON_INTERVAL_PER_GATEWAY_HUGE_NS = 50 * MS  # a huge fleet sends twenty beacons a second in all
+MAX_BEACON_INTERVAL_SMALL_NS = 3 * SECOND  # each gateway of a small fleet sends a beacon at least this often
+MAX_FIRST_BEACON_DELAY_NS = 3 * SECOND  # a gateway newly in agreement sends a beacon by then: others may wait
+ALONE_INTERVAL_NS = SECOND  # a gateway that assumes that it is alone sends beacons this often
+SET_TIME_DELAY_AFTER_OUTAGE_NS = 2 * ALONE_INTERVAL_NS  # other gateways, if any, send beacons by then
 SMALL_FLEET_GATEWAYS = 50  # the first reads of so many gateways do not crowd the counter
-FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # spreads the gateways' first reads in a larger fleet
-REPEATED_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # spreads the second reads, if the first found no beacon
-MAX_REPEATED_READ_SPREAD_NS = 300 * MS  # longest delay of the second read, if the first found no beacon
-MAX_FIRST_ATTEMPT_NS = SECOND  # limit of the first attempt at agreement, which customers' calls wait for
-CALL_RETRY_DELAY_NS = 100 * MS  # before an unanswered renewal or check of a presence count is repeated
-MAX_CALL_RETRIES = 3
-RENEWAL_REPEAT_DELAY_NS = 20 * MS  # before the renewal of a presence count that did not exist is repeated
-MAX_RENEWAL_REPEATS = 10
-PRESENCE_RECHECK_NS = 2 * SECOND  # delay of the next presence check after one that found a presence count
-MAX_PRESENCE_CHECK_AGE_NS = 300 * MS  # less than a beacon lives: a time set after the check is noticed
+FIRST_READ_SPREAD_PER_GATEWAY_NS = 1_250_000  # a larger fleet spreads first reads over this for each gateway
+REPEATED_READ_SPREAD_PER_GATEWAY_NS = 20 * MS  # this spreads the second reads, if the first found no beacon
+MAX_REPEATED_READ_SPREAD_NS = 300 * MS  # the second read, if the first found no beacon, waits no longer
+MAX_FIRST_ATTEMPT_NS = SECOND  # the first attempt at agreement, which customers' calls wait for, ends by then
+CALL_RETRY_DELAY_NS = 100 * MS  # an unanswered renewal or check of a presence count is repeated after this
+MAX_CALL_RETRIES = 3  # after so many repeats without an answer, a call of another kind is made
+RENEWAL_REPEAT_DELAY_NS = 20 * MS  # a renewal of a presence count that did not exist is repeated after this
+MAX_RENEWAL_REPEATS = 10  # a renewal is repeated at most so many times, even if the count did not exist
+PRESENCE_RECHECK_NS = 2 * SECOND  # after a check that found a presence count, the next one waits this long
+MAX_PRESENCE_CHECK_AGE_NS = 300 * MS  # an older check is void: beacons live longer, so a time set since shows
 MAX_CONFIRMING_GAP_NS = 2 * BEACON_LIFETIME_NS  # two beacons agree if their clock offsets differ by no more
 BEACON_SETTLE_NS = BEACON_LIFETIME_NS + 300 * MS  # a beacon that was read is gone by then, even a delayed one
-AGREEMENT_INTERVALS = 3  # evidence of agreement is valid for so many beacon intervals
-MIN_AGREEMENT_NS = 20 * SECOND  # minimum validity of evidence of agreement: outlasts a short counter outage
+# Evidence that the gateways agree on the time is valid for so many intervals between one gateway's beacons,
+# but for MIN_AGREEMENT_NS at least, so that the agreement outlasts a short outage of the counter.
+AGREEMENT_INTERVALS = 3
+MIN_AGREEMENT_NS = 20 * SECOND
 
 
 def _well_known_name(text: str) -> int:
@@ -89,9 +91,9 @@
 class Purpose(Enum):
     """What a call to the counter is for."""
 
-    READ = "learn what the beacons state"
-    CHECK_FIRST = "find out whether the first presence count exists"
-    CHECK_SECOND = "find out whether the second presence count exists"
+    READ = "read the times in the beacons"
+    CHECK_PRESENCE_0 = "find out whether the first presence count exists"
+    CHECK_PRESENCE_1 = "find out whether the second presence count exists"
     LOCK = "keep others from setting the time at the same time"
     SET_TIME = "send the first beacon, unless another gateway has set the time"
     BEACON = "tell the others the time that this gateway agrees on, and read their beacons"
@@ -105,7 +107,7 @@
     purpose: Purpose
     name: int
     amount: float
-    sent_ns: int
+    sent_at_ns: int
 
 
 class ClockSync:
@@ -114,33 +116,32 @@
     def __init__(self, gateways: int, rng: random.Random) -> None:
         self._gateways = gateways
         self._rng = rng
-        self._offset_ns = 0  # of the agreed time from this gateway's clock
-        self._agreed_until_ns: int | None = None  # none while there is no evidence of agreement
+        self._offset_ns = 0  # how far the agreed time is ahead of this gateway's clock
+        self._agreed_until_ns: int | None = None  # until when evidence of agreement is valid; none without it
         # The offset by other gateways' beacons, while it contradicts _offset_ns and is not confirmed.
         self._unconfirmed_offset_ns: int | None = None
         self._unconfirmed_since_ns = 0
         self._contradicted_by_beacons = False  # agreement ended because beacons showed another time
         self._no_beacon_since_ns: int | None = None  # the first of the latest reads that found no beacon
         self._reads_without_beacon = 0  # how many reads in a row have found no beacon
-        self._presence_totals = [0] * len(
-            PRESENCE_NAMES
-        )  # of the presence counts; totals last read, 0 for no count
+        # The totals of the two presence counts as last read; 0 if there was no count.
+        self._presence_totals = [0] * len(PRESENCE_NAMES)
         self._presence_changed = False  # whether the latest check found other totals than the one before
-        self._presence_checked_ns = 0  # when the latest check of the presence counts began
-        self._presence_found_ns: int | None = None  # when a check last found a presence count
+        self._presence_checked_at_ns = 0  # when the latest check of the presence counts began
+        self._presence_found_at_ns: int | None = None  # when a check last found a presence count
         self._pending_call: PendingCall | None = None
         self._failed_calls = 0  # how many calls in a row have got no answer
-        self._may_set_time_ns: int | None = None  # earliest time; none before the counter's first answer
-        self._beacons_planned = 0
+        self._may_set_time_ns: int | None = None  # from when it may; none before the counter's first answer
+        self._beacons_planned = 0  # every BEACONS_PER_RENEWAL-th beacon follows a renewal
         self._solitary_beacons = 0  # own beacons in a row that met none of another gateway
-        self._next_beacon_ns = 0
-        self._renewal_repeats = 0  # how often the current renewal of a presence count was repeated
+        self._next_beacon_at_ns = 0  # when to send the next beacon, after a renewal if one comes first
+        self._renewal_repeats = 0  # repeats so far of the renewal of a presence count that is under way
         self._next_purpose = Purpose.READ
         self._started = False
         self.due_at_ns: int | None = None  # when to make the next call; none while one is in flight
         self._first_attempt_over = False  # whether the first attempt at agreement has ended
         self.start_deadline_ns = 0  # when the first attempt at agreement ends at the latest
-        self.clock_steps = 0  # how often the others' time was taken over, which voids earlier readings
+        self.clock_steps = 0  # how often the others' time was taken over; earlier readings are void
 
     def start(self, now: int) -> bool:
         """Schedule the first read, unless already started or the only gateway; return whether it was done."""
@@ -187,12 +188,12 @@
         if purpose is Purpose.BEACON and not self.agrees(now):
             purpose = Purpose.READ
         if (
-            purpose in (Purpose.CHECK_SECOND, Purpose.LOCK, Purpose.SET_TIME)
-            and now - self._presence_checked_ns > MAX_PRESENCE_CHECK_AGE_NS
+            purpose in (Purpose.CHECK_PRESENCE_1, Purpose.LOCK, Purpose.SET_TIME)
+            and now - self._presence_checked_at_ns > MAX_PRESENCE_CHECK_AGE_NS
         ):
             purpose = Purpose.READ  # the check is too old: another gateway may have set the time since
-        if purpose is Purpose.CHECK_FIRST:
-            self._presence_checked_ns, self._presence_changed = now, False
+        if purpose is Purpose.CHECK_PRESENCE_0:
+            self._presence_checked_at_ns, self._presence_changed = now, False
         if purpose in (Purpose.BEACON, Purpose.SET_TIME) and self._is_lap_ending(now):
             self.due_at_ns = now + BEACON_SETTLE_NS
             return None
@@ -218,7 +219,7 @@
         match call.purpose:
             case Purpose.READ | Purpose.SET_TIME | Purpose.BEACON:
                 self._handle_beacon_total(call, answer.total, now)
-            case Purpose.CHECK_FIRST | Purpose.CHECK_SECOND:
+            case Purpose.CHECK_PRESENCE_0 | Purpose.CHECK_PRESENCE_1:
                 self._handle_presence(call.purpose, round(answer.total), now)
             case Purpose.LOCK if round(answer.total) == 1:
                 self._schedule(Purpose.SET_TIME, now)
@@ -230,7 +231,7 @@
                 self._schedule(Purpose.RENEW, now + self._jittered(RENEWAL_REPEAT_DELAY_NS))
             case Purpose.RENEW:
                 self._renewal_repeats = 0
-                self._schedule(Purpose.BEACON, self._next_beacon_ns)
+                self._schedule(Purpose.BEACON, self._next_beacon_at_ns)
 
     def _is_lap_ending(self, now: int) -> bool:
         """Whether a beacon sent now could be added to one of the next lap, which would falsify the mean."""
@@ -249,17 +250,17 @@
             case Purpose.RENEW:
                 turn = self.agreed_time(now) // PRESENCE_TURN_NS
                 return PRESENCE_NAMES[turn % len(PRESENCE_NAMES)], 1.0, COUNT_TTL_NS
-            case Purpose.CHECK_FIRST | Purpose.CHECK_SECOND:
-                return PRESENCE_NAMES[purpose is Purpose.CHECK_SECOND], 0.0, READ_COUNT_LIFETIME_NS
+            case Purpose.CHECK_PRESENCE_0 | Purpose.CHECK_PRESENCE_1:
+                return PRESENCE_NAMES[purpose is Purpose.CHECK_PRESENCE_1], 0.0, READ_COUNT_LIFETIME_NS
 
     def _handle_failure(self, call: PendingCall, status: interface.Status, now: int) -> None:
         """Schedule a retry or another call after one without an answer, which proves nothing about others."""
         self._failed_calls += 1
         if call.purpose is Purpose.SET_TIME and not status.never_ran:
-            self._next_beacon_ns = now + self._jittered_read_interval()
+            self._next_beacon_at_ns = now + self._jittered_read_interval()
             self._schedule(Purpose.RENEW, now)  # most likely the time was set: others must not set it again
             return
-        retried = call.purpose in (Purpose.RENEW, Purpose.CHECK_FIRST, Purpose.CHECK_SECOND)
+        retried = call.purpose in (Purpose.RENEW, Purpose.CHECK_PRESENCE_0, Purpose.CHECK_PRESENCE_1)
         if retried and self._failed_calls <= MAX_CALL_RETRIES:
             self._schedule(call.purpose, now + self._jittered(CALL_RETRY_DELAY_NS))
         elif self.agrees(now):
@@ -291,7 +292,7 @@
         else:
             self._no_beacon_since_ns = None
             beacon_time_ns = (others % BEACON_AMOUNT) * BEACON_RESOLUTION_NS // beacons
-            self._compare_with_beacons(beacon_time_ns, beacons == 1, call.sent_ns, now)
+            self._compare_with_beacons(beacon_time_ns, beacons == 1, call.sent_at_ns, now)
             self._schedule_after_beacon(call.purpose, now)
 
     def _handle_no_beacon(self, call: PendingCall, now: int) -> None:
@@ -320,24 +321,24 @@
             self._schedule(Purpose.READ, now + int(self._rng.random() * spread))
             return
         found_recently = (
-            self._presence_found_ns is not None and now - self._presence_found_ns < PRESENCE_RECHECK_NS
+            self._presence_found_at_ns is not None and now - self._presence_found_at_ns < PRESENCE_RECHECK_NS
         )
         if self._may_set_time_ns is not None and now >= self._may_set_time_ns and not found_recently:
-            self._schedule(Purpose.CHECK_FIRST, now)
+            self._schedule(Purpose.CHECK_PRESENCE_0, now)
         else:
             self._schedule_next_beacon_read(now)
 
     def _handle_presence(self, purpose: Purpose, total: int, now: int) -> None:
         """Go on to set the time if no presence count exists, or if none has been renewed for long."""
-        presence_index = int(purpose is Purpose.CHECK_SECOND)
+        presence_index = int(purpose is Purpose.CHECK_PRESENCE_1)
         self._presence_changed = self._presence_changed or total != self._presence_totals[presence_index]
         self._presence_totals[presence_index] = total
-        if purpose is Purpose.CHECK_FIRST:
-            self._schedule(Purpose.CHECK_SECOND, now)
+        if purpose is Purpose.CHECK_PRESENCE_0:
+            self._schedule(Purpose.CHECK_PRESENCE_1, now)
         elif not any(self._presence_totals) or self._is_presence_stale(now):
             self._schedule(Purpose.LOCK, now)
         else:
-            self._presence_found_ns = now
+            self._presence_found_at_ns = now
             self._schedule_next_beacon_read(now)
 
     def _is_presence_stale(self, now: int) -> bool:
@@ -351,17 +352,17 @@
         wait = 2 * self._beacon_interval() + 2 * ALONE_INTERVAL_NS
         return now - self._no_beacon_since_ns >= wait and self._reads_without_beacon >= TAKEOVER_READS
 
-    def _compare_with_beacons(self, beacon_time_ns: int, is_single: bool, sent_ns: int, now: int) -> None:
-        """Keep this gateway's time, slew it, or note that the beacons state another time.
+    def _compare_with_beacons(self, beacon_time_ns: int, is_single: bool, sent_at_ns: int, now: int) -> None:
+        """Keep this gateway's time, slew it, or note that the beacons have another time.
 
         ``beacon_time_ns`` is the mean of the times in the beacons, ``is_single`` whether there is just one
-        beacon.  The counter handled the call between ``sent_ns`` and ``now`` on this gateway's clock, and in
+        beacon.  The counter handled the call from ``sent_at_ns`` to ``now`` on this gateway's clock, and in
         agreed time between the beacons' time and the end of the beacon's life.  So the agreed time is ahead
         of this gateway's by ``least_ahead`` to ``most_ahead``.
         """
         least_ahead = _lap_difference(beacon_time_ns, self.agreed_time(now))
         most_ahead = (
-            least_ahead + BEACON_RESOLUTION_NS + BEACON_LIFETIME_NS + MAX_BEACON_DELAY_NS + (now - sent_ns)
+            least_ahead + BEACON_RESOLUTION_NS + BEACON_LIFETIME_NS + MAX_BEACON_DELAY_NS + (now - sent_at_ns)
         )
         if least_ahead <= MAX_SLEW_NS and most_ahead >= -MAX_SLEW_NS:
             self._offset_ns += max(0, least_ahead) + min(0, most_ahead)
@@ -379,7 +380,7 @@
         """Beacons show another time, which has this offset from this gateway's clock.
 
         It is taken over only once a later, single beacon confirms it: the first beacon may have been delayed
-        by seconds, and several beacons may state different times, whose mean is no one's time.
+        by seconds, and several beacons may have different times, whose mean is no one's time.
         """
         self._contradicted_by_beacons = self._contradicted_by_beacons or self.agrees(now)
         self._agreed_until_ns = None
@@ -394,7 +395,7 @@
             self._unconfirmed_offset_ns, self._unconfirmed_since_ns = offset_ns, now
 
     def _schedule_after_beacon(self, purpose: Purpose, now: int) -> None:
-        """Schedule the next call after a beacon of another gateway was read."""
+        """Schedule what follows a call for this purpose whose answer showed beacons of other gateways."""
         self._solitary_beacons = 0
         if not self.agrees(now):
             self._schedule(
@@ -408,7 +409,7 @@
 
     def _schedule_first_beacon(self, now: int) -> None:
         """Schedule a beacon soon after agreement, for which others may wait; some renew presence first."""
-        self._next_beacon_ns = now + int(
+        self._next_beacon_at_ns = now + int(
             self._rng.random() * min(MAX_FIRST_BEACON_DELAY_NS, self._beacon_interval())
         )
         self._schedule_renewal_or_beacon(self._rng.random() * self._gateways < FIRST_AGREEMENT_RENEWALS, now)
@@ -420,7 +421,7 @@
             min(ALONE_INTERVAL_NS, self._beacon_interval()),
             self._beacon_interval() >> self._solitary_beacons,
         )
-        self._next_beacon_ns = now + self._jittered(interval)
+        self._next_beacon_at_ns = now + self._jittered(interval)
         self._schedule_renewal_or_beacon(
             self._solitary_beacons == ALONE_AFTER_BEACONS or self._beacons_planned % BEACONS_PER_RENEWAL == 0,
             now,
@@ -430,10 +431,10 @@
         if renew_presence:
             self._schedule(Purpose.RENEW, now)
         else:
-            self._schedule(Purpose.BEACON, self._next_beacon_ns)
+            self._schedule(Purpose.BEACON, self._next_beacon_at_ns)
 
-    def _schedule(self, purpose: Purpose, at: int) -> None:
-        self._next_purpose, self.due_at_ns = purpose, at
+    def _schedule(self, purpose: Purpose, at_ns: int) -> None:
+        self._next_purpose, self.due_at_ns = purpose, at_ns
 
     def _read_interval(self) -> int:
         return max(BEACON_READ_INTERVAL_NS, self._gateways * BEACON_READ_INTERVAL_PER_GATEWAY_NS)
--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -382,6 +382,6 @@
         return inflight.request.units if likely else 0.0
 
     @property
-    def books_later(self) -> bool:
+    def has_unbooked_requests(self) -> bool:
         """Whether the call holds a request whose units a later call adds to the count, if it is admitted."""
         return any(booked == 0.0 for _, booked in self.held_requests)
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -228,7 +228,7 @@
         # Units booked for refused requests are taken back at once only while the counter keeps up: the calls
         # that take back units were a quarter of all calls to the counter.
         is_urgent = customer.unreported < 0 and self.quotas.read_fraction >= KEEPS_UP_FRACTION
-        is_urgent = is_urgent or (customer.unreported > 0 and call.books_later)
+        is_urgent = is_urgent or (customer.unreported > 0 and call.has_unbooked_requests)
         if customer.counter_answered:
             self.actions += self.quotas.start_count_correction(customer, self.now)
         if customer.waiting_requests or (customer.counter_answered and is_urgent):
