--- a/gingerworks/interface.py
+++ b/gingerworks/interface.py
@@ -58,7 +58,7 @@
 
 
 class Phase(Enum):
-    """State of a server in the server list."""
+    """State of a server in the server list; only a ready server gets new attempts."""
 
     READY = "ready"
     DRAINING = "draining"
--- a/gingerworks/policy/customer.py
+++ b/gingerworks/policy/customer.py
@@ -14,6 +14,7 @@
   for requests that readings admit, and an even part for each gateway, from which the gateway may admit
   requests without a reading.
 
+An allowance is what this gateway may still let the customer use of a quota or ceiling.
 Amounts are in units of use, rates in units a second, times in nanoseconds.  ``docs/design.md`` describes the
 rules.
 """
@@ -148,7 +149,7 @@
         # When readings of the shared count began to show more than the tolerated overuse.
         self.overuse_since_ns: int | None = None
         self.admit_fraction = AdmitFraction()
-        # The least that the quota's store can lack, by the use that this gateway alone has sent on.
+        # The least that the quota's store can lack, judged by what this gateway alone has sent to servers.
         self.own_deficit = 0.0
         self.own_deficit_at_ns = self.demand_at_ns = now
         self.demand = 0.0  # units requested at this gateway lately; earlier ones count for less
@@ -190,7 +191,7 @@
         return max(0.0, self.deficit - self.plan.rate * (now - self.read_at_ns) / SECOND)
 
     def min_own_deficit(self, now: int) -> float:
-        """The least that the quota's store can lack, judged only by the use that this gateway has sent on."""
+        """The least that the quota's store can lack, judged by what this gateway has sent to servers."""
         return max(0.0, self.own_deficit - self.plan.rate * (now - self.own_deficit_at_ns) / SECOND)
 
     def record_sent(self, units: float, now: int) -> None:
@@ -203,7 +204,7 @@
         self.own_deficit_at_ns = now
 
     def certainly_exceeds(self, units: float, now: int) -> bool:
-        """Whether the store cannot cover these units, however little the other gateways have sent on."""
+        """Whether the store cannot cover these units, however few requests the other gateways have sent."""
         return max(self.min_deficit(now), self.min_own_deficit(now)) + units > self.allowance.cap + EPSILON
 
     def record_demand(self, units: float, now: int) -> bool:
--- a/gingerworks/policy/driver.py
+++ b/gingerworks/policy/driver.py
@@ -155,7 +155,7 @@
         if in_quota is False and plan.excess_worth <= plan.overrun_cost:
             return self.decline(inflight, customer.refill_wait_ns(units))
         if in_quota is not None and not customer.ceiling_part_covers(units):
-            # Beyond this gateway's part of the ceiling a reading is needed, even from a late counter.
+            # Beyond its part of a ceiling (hard limit), a gateway needs a reading, even from a late counter.
             if not in_quota or not self.quotas.should_read(inflight, Headroom.BEYOND_PART, self.now):
                 return self.decline(inflight, 0)
             in_quota = None
--- a/gingerworks/policy/quotas.py
+++ b/gingerworks/policy/quotas.py
@@ -1,11 +1,11 @@
 """All customers of one gateway, and its calls to the counter that the gateways share.
 
 Decides whether a customer's quota covers a request, when its use is reported to the shared count, and which
-requests are held for a reading of it, that is, for a call to the counter that returns the count's total.
-A request is uncertain if it may be within the quota, but is not covered by the gateway's allowance or exceeds
-the even share of the burst.  While the counter answers in time, a reading is taken for each uncertain
-request.  While it is late, readings are taken for a fraction of them, and the others are admitted or refused
-by estimates, see ``speculative_admission``.
+requests are held for a reading of it, that is, for a call to the counter that returns the count's total.  A
+request is uncertain if it may be within the quota, but is not covered by the gateway's allowance or exceeds
+the even share of the burst (the burst divided by the customer's number of gateways).  While the counter
+answers in time, a reading is taken for each uncertain request.  While it is late, readings are taken for a
+fraction of them, and the others are admitted or refused by estimates, see ``speculative_admission``.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 # regular searches for idle customers to forget.
 MAX_CUSTOMERS = 20_000
 # Unreported use beyond this fraction of a customer's allowance, or of its even share of the burst if that is
-# more, is reported at once, as the other gateways admit requests from the same store.
+# more, is reported at once, as the other gateways admit requests by the same quota.
 URGENT_REPORT_FRACTION = 0.25
 # If requests were admitted by estimates, a call is made to report their use once this fraction of the burst
 # is unreported; until then their use waits for the customer's next call.
--- a/gingerworks/policy/servers.py
+++ b/gingerworks/policy/servers.py
@@ -2,7 +2,8 @@
 
 Keeps the list of servers and, for each one, the attempts in flight, the learned speed, recent failures and
 the slow-start allowance.  An attempt goes to the server with the shortest expected answer time, except that a
-cold server with an allowance comes first.  Left out are:
+cold server, one that started recently, comes first while it has an allowance, that is, while slow start still
+allows it an attempt.  Left out are:
 
 - cold servers that have no allowance left;
 - servers that accept no connection, for a while that doubles with each failure, if there is any other;
--- a/gingerworks/policy/speculative_admission.py
+++ b/gingerworks/policy/speculative_admission.py
@@ -1,10 +1,10 @@
 """Requests that a gateway's own share of a quota does not cover: which to read for, which to admit at once.
 
-A reading is a call to the shared counter that shows whether the quota still covers a request.  While the
-counter cannot take a call for each uncertain request, calls are spent where a wrong decision is expected to
-cost the most.  A request without a reading is admitted speculatively only if its expected gain exceeds the
-expected cost of an overrun, which is use beyond the quota.  The expected costs of such overruns are held to a
-small fraction of the worth of all requests sent to servers.
+Such requests are called uncertain.  A reading is a call to the shared counter that shows whether the quota
+still covers a request.  While the counter cannot take a call for each uncertain request, calls are spent
+where a wrong decision is expected to cost the most.  A request without a reading is admitted speculatively
+only if its expected gain exceeds the expected cost of an overrun, which is use beyond the quota.  The
+expected costs of such overruns are held to a small fraction of the worth of all requests sent to servers.
 
 The worth of a request is that of its class, times the price of its plan, times its units.  The chance that a
 reading admits a request is learned from earlier readings: of its customer, of its plan and of all customers.
