--- a/gingerworks/gateway/backend.py
+++ b/gingerworks/gateway/backend.py
@@ -29,8 +29,8 @@
     describe_error,
 )
 
-# The gateway closes idle connections after this share of the time after which servers close them at the
-# latest.
+# Servers close idle connections after a configured time at the latest.  The gateway closes them after this
+# share of it.
 IDLE_TIMEOUT_SHARE = 0.4
 MAX_BODY_BYTES = 64 * 1024  # an answer with a larger body is rejected
 MAX_ANSWER_BYTES = MAX_BODY_BYTES + 16 * 1024  # an answer with its head and framing may have this size
@@ -85,8 +85,8 @@
         self.status = 0
         self.body = b""
         self.headers: list[tuple[bytes, bytes]] = []
-        self.billed: float | None = None
-        self.report: tuple[tuple[str, float], ...] = ()
+        self.billed_units: float | None = None  # the units that the server bills for the request
+        self.load_report: tuple[tuple[str, float], ...] = ()  # the server's X-Backend-Load
         self.reported_unprocessed = False  # whether the server sent ``X-Unprocessed: 1``
 
     def attempt_status(self) -> interface.Status:
@@ -263,9 +263,9 @@
         elif name == b"x-unprocessed":
             answer.reported_unprocessed = value == b"1"
         elif name == b"x-settled":
-            answer.billed = self.backends.parse_billed_units(value)
+            answer.billed_units = self.backends.parse_billed_units(value)
         elif name == b"x-backend-load":
-            answer.report = self.backends.parse_report(value)
+            answer.load_report = self.backends.parse_load_report(value)
 
     def on_headers_complete(self) -> None:
         """Parser's callback."""
@@ -440,7 +440,7 @@
         units = number_parsing.parse_decimal(value)
         return units if units is not None and 0 < units <= self._settings.max_units else None
 
-    def parse_report(self, value: bytes) -> tuple[tuple[str, float], ...]:
+    def parse_load_report(self, value: bytes) -> tuple[tuple[str, float], ...]:
         """The fields of a load report that the settings name; others and malformed values are ignored."""
         if len(value) > MAX_LOAD_REPORT_BYTES:
             return ()
@@ -468,14 +468,14 @@
     def _take_idle(self, server: str) -> Connection | None:
         now = clock.now()
         idle = self._idle.get(server, [])
-        limit_ns = min(self._max_idle_ns, self._idle_limit.limit_ns() or self._max_idle_ns)
+        idle_limit_ns = min(self._max_idle_ns, self._idle_limit.idle_limit_ns() or self._max_idle_ns)
         # A stray second answer to the last request arrives within MIN_IDLE_BEFORE_REUSE_NS; the call of
         # recv() below finds it.
         for connection in [c for c in reversed(idle) if now - c.idle_since_ns >= MIN_IDLE_BEFORE_REUSE_NS]:
             idle.remove(connection)
             assert connection.socket is not None
             connection.idle_duration_ns = now - connection.idle_since_ns
-            if connection.idle_duration_ns < limit_ns:
+            if connection.idle_duration_ns < idle_limit_ns:
                 # The server may have closed or reset the connection, which the event loop has not seen yet.
                 # An attempt sent on it would count as one that may have run.
                 try:
--- a/gingerworks/gateway/client.py
+++ b/gingerworks/gateway/client.py
@@ -38,8 +38,8 @@
 # paused, the kernel's receive buffer may fill up, and a FIN behind it stays unseen.  The buffer holds
 # 65,000 to 130,000 bytes by default, and fewer if they come in small segments.
 HIDDEN_DISCONNECT_BYTES = 60 * 1024
-# The same limit applies, at this lower number, once the client had a request rejected: nothing more is read
-# from its connection then.
+# Once the client had a request rejected, its disconnect may be hidden behind this many unread bytes or more:
+# nothing more is read from its connection then.
 HIDDEN_DISCONNECT_REJECTED_BYTES = 8 * 1024
 # After a rejection the connection stays half open for this long, so that a client that is still sending can
 # read why its request was rejected.
--- a/gingerworks/gateway/dial.py
+++ b/gingerworks/gateway/dial.py
@@ -17,7 +17,7 @@
 from gingerworks.gateway.config import Address
 from gingerworks.gateway.system_errors import LOCAL_CONNECT_ERRORS, NO_LOCAL_ROUTE, describe_error
 
-# The results of connect(2) after which a connection is being established; after EINTR that goes on in the
+# After these results of connect(2), the connection is being established; after EINTR that goes on in the
 # background.
 CONNECTING = (0, errno.EINPROGRESS, errno.EINTR)
 
--- a/gingerworks/gateway/frontend.py
+++ b/gingerworks/gateway/frontend.py
@@ -260,9 +260,9 @@
         """Close the listener once no new connections are expected and the backlog is empty."""
         if self._listener is None:
             return
-        wait_ns = self._shutdown.accept_remaining_ns(clock.now())
-        if wait_ns:
-            self._call_after_ns(wait_ns + clock.NS_PER_MS, self._close_listener)
+        delay_ns = self._shutdown.accept_remaining_ns(clock.now())
+        if delay_ns:
+            self._call_after_ns(delay_ns + clock.NS_PER_MS, self._close_listener)
             return
         if not self._accept_batch():
             # The backlog still holds connections, as the table is full or one turn accepts only so many.
--- a/gingerworks/gateway/idle_limit.py
+++ b/gingerworks/gateway/idle_limit.py
@@ -42,7 +42,7 @@
         bucket = _bucket(idle_ns)
         self._reset_rates[bucket] += GAIN * (was_reset - self._reset_rates[bucket])
 
-    def limit_ns(self) -> int | None:
+    def idle_limit_ns(self) -> int | None:
         """The idle time from which connections are not to be reused, or none if all may be."""
         self._fade()
         for bucket, rate in enumerate(self._reset_rates):
--- a/gingerworks/gateway/requests.py
+++ b/gingerworks/gateway/requests.py
@@ -17,7 +17,7 @@
 MAX_REMEMBERED_IDS = 50_000  # this bounds the memory: beyond it, the older half is forgotten early
 CUSTOMER_ID_LIMIT = 1 << 33  # customers' ids are below this
 MAX_TIME_LEFT_S = 3600.0  # a longer time in X-Time-Left counts as this one
-HTTP_VERSIONS = ("1.1", "1.0")
+HTTP_VERSIONS = ("1.1", "1.0")  # requests of other versions are rejected
 
 # Header fields of a request that are not sent on to a server: the gateway sets them itself, or they concern
 # the client's connection only.
--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -142,8 +142,10 @@
             self.counter.retire()
         self.counter = None
         if address is not None:
-            wait_ns = self._config.settings.counter_wait_ns
-            self.counter = CounterClient(self._loop, address, wait_ns, self._config.seed, self._post)
+            answer_timeout_ns = self._config.settings.counter_wait_ns
+            self.counter = CounterClient(
+                self._loop, address, answer_timeout_ns, self._config.seed, self._post
+            )
             self.counter.connect()
 
     def close(self) -> None:
@@ -166,8 +168,8 @@
         """
         self._last_request_id += 1
         request_id, now = self._last_request_id, clock.now()
-        waited_ns = 0 if arrived_at_ns is None else now - arrived_at_ns
-        time_left_ns = min(request.ttl_ns - waited_ns, self._classes[request.class_name].deadline_ns)
+        request_age_ns = 0 if arrived_at_ns is None else now - arrived_at_ns
+        time_left_ns = min(request.ttl_ns - request_age_ns, self._classes[request.class_name].deadline_ns)
         deadline_ns = (
             now + time_left_ns - int(min(ANSWER_MARGIN_NS, ANSWER_MARGIN_SHARE * max(0, time_left_ns)))
         )
@@ -360,10 +362,10 @@
                 status=status,
                 elapsed_ns=clock.now() - attempt.started_at_ns,
                 terminal=not inflight.awaits_answer,
-                billed_units=answer.billed
+                billed_units=answer.billed_units
                 if answer is not None and status is interface.Status.DELIVERED
                 else None,
-                report=answer.report if answer is not None else (),
+                report=answer.load_report if answer is not None else (),
             )
         )
         self._ended_requests.append(request_id)
@@ -403,18 +405,18 @@
     def _set_timer(self, action: interface.Wake) -> None:
         self._post_timer_when_due(clock.now() + action.after_ns, action.token)
 
-    def _post_timer_when_due(self, due_ns: int, token: int) -> None:
+    def _post_timer_when_due(self, due_at_ns: int, token: int) -> None:
         """Post the timer's event if it is due, or else check again later.
 
         The event loop's clock is coarse and may fire early, while the policy sets each timer only once and
         must not get its event before it is due.
         """
-        delay_ns = due_ns - clock.now()
+        delay_ns = due_at_ns - clock.now()
         if delay_ns <= 0:
             self._post(interface.Timer(token))
         else:
             self._loop.call_later(
-                math.ceil(delay_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
+                math.ceil(delay_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_at_ns, token
             )
 
     def _call_counter(self, action: interface.Count) -> None:
--- a/gingerworks/gateway/shutdown.py
+++ b/gingerworks/gateway/shutdown.py
@@ -46,8 +46,10 @@
     @classmethod
     def starting_at(cls, started_at_ns: int, classes: Iterable[interface.RequestClass]) -> ShutdownSchedule:
         """The schedule of a shutdown that starts at this time, for requests of these classes."""
-        longest_ns = min(MAX_COUNTED_DEADLINE_NS, max(request_class.deadline_ns for request_class in classes))
-        exit_due_ns = started_at_ns + longest_ns + KILL_DELAY_NS - EXIT_MARGIN_NS
+        longest_deadline_ns = min(
+            MAX_COUNTED_DEADLINE_NS, max(request_class.deadline_ns for request_class in classes)
+        )
+        exit_due_ns = started_at_ns + longest_deadline_ns + KILL_DELAY_NS - EXIT_MARGIN_NS
         answers_due_ns = exit_due_ns - STALL_ALLOWANCE_NS
         accept_until_ns = min(started_at_ns + MAX_ACCEPT_NS, answers_due_ns)
         return cls(started_at_ns, accept_until_ns, answers_due_ns, exit_due_ns)
@@ -87,8 +89,8 @@
 
     def accept_remaining_ns(self, now_ns: int) -> int:
         """How long to wait for new connections; 0 once the listener may be closed."""
-        until_ns = min(self._last_accepted_at_ns + QUIET_PERIOD_NS, self.schedule.accept_until_ns)
-        return max(0, until_ns - now_ns)
+        expected_until_ns = min(self._last_accepted_at_ns + QUIET_PERIOD_NS, self.schedule.accept_until_ns)
+        return max(0, expected_until_ns - now_ns)
 
     def listener_closed(self) -> None:
         """No new connection can come any more."""
--- a/tests/test_gateway_attempts.py
+++ b/tests/test_gateway_attempts.py
@@ -177,7 +177,7 @@
         await wait_until(lambda: bool(results))
         status, answer = results[0]
         assert answer is not None
-        assert (status, answer.body, answer.billed) == (interface.Status.DELIVERED, BODY, None)
+        assert (status, answer.body, answer.billed_units) == (interface.Status.DELIVERED, BODY, None)
         assert not pool._open  # the data must not be taken for the answer to the next request
 
     run(scenario())
@@ -266,7 +266,7 @@
 )
 def test_a_malformed_load_report_is_ignored(report: bytes) -> None:
     async def scenario() -> None:
-        assert make_backends().parse_report(report) == ()
+        assert make_backends().parse_load_report(report) == ()
 
     run(scenario())
 
@@ -486,7 +486,7 @@
         await wait_until(lambda: bool(results))
         answer = results[0][1]
         assert answer is not None
-        assert (answer.body, answer.billed, answer.report) == (BODY, units, (("util", 0.5),))
+        assert (answer.body, answer.billed_units, answer.load_report) == (BODY, units, (("util", 0.5),))
 
     run(scenario())
 
