--- a/gingerworks/gateway/runtime.py
+++ b/gingerworks/gateway/runtime.py
@@ -29,8 +29,9 @@
 # A request is answered this much before its client stops waiting, which leaves time for the network and for
 # delays in a busy event loop.
 ANSWER_MARGIN_NS = 20 * clock.NS_PER_MS
-UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS  # advice to a client whose request was not sent to a server
-ANSWER_MARGIN_SHARE = 0.25  # the most that ``ANSWER_MARGIN_NS`` may take of a request's remaining time
+# A client whose request was not sent to a server is advised to send it again after this long.
+UNSENT_RETRY_AFTER_NS = 100 * clock.NS_PER_MS
+ANSWER_MARGIN_SHARE = 0.25  # the margin is at most this share of a request's remaining time
 
 log = logging.getLogger(__name__)
 
@@ -81,7 +82,7 @@
         self.attempts: list[Attempt | None] = []  # by attempt number; None for each that has ended
         self.open_attempts = 0
         self.may_have_run = False  # whether an attempt of this request may have run on a server
-        self.deadline_ns = deadline_ns  # the client's deadline, or the shutdown's if sooner
+        self.deadline_ns = deadline_ns  # the moment of the client's deadline, or the shutdown's if sooner
 
     def remaining_ns(self) -> int:
         """The time until the deadline."""
@@ -141,8 +142,10 @@
             self.counter.retire()
         self.counter = None
         if address is not None:
-            wait_ns = self._config.settings.counter_wait_ns
-            self.counter = CounterClient(self._loop, address, wait_ns, self._config.seed, self._post)
+            answer_timeout_ns = self._config.settings.counter_wait_ns
+            self.counter = CounterClient(
+                self._loop, address, answer_timeout_ns, self._config.seed, self._post
+            )
             self.counter.connect()
 
     def close(self) -> None:
@@ -165,8 +168,8 @@
         """
         self._last_request_id += 1
         request_id, now = self._last_request_id, clock.now()
-        waited_ns = 0 if arrived_at_ns is None else now - arrived_at_ns
-        time_left_ns = min(request.ttl_ns - waited_ns, self._classes[request.class_name].deadline_ns)
+        request_age_ns = 0 if arrived_at_ns is None else now - arrived_at_ns
+        time_left_ns = min(request.ttl_ns - request_age_ns, self._classes[request.class_name].deadline_ns)
         deadline_ns = (
             now + time_left_ns - int(min(ANSWER_MARGIN_NS, ANSWER_MARGIN_SHARE * max(0, time_left_ns)))
         )
@@ -195,14 +198,16 @@
         """Apply a server list or a change of it, from discovery or (if ``cached``) the configuration."""
         change = self._server_start_times.correct_start_times(change, cached)
         self._backends.update_servers(change)
-        mode = (
+        list_mode = (
             interface.ListMode.CACHED
             if cached
             else interface.ListMode.FULL
             if change.full
             else interface.ListMode.DELTA
         )
-        self._post(interface.ServersChanged(mode, tuple(endpoint.server for endpoint in change.endpoints)))
+        self._post(
+            interface.ServersChanged(list_mode, tuple(endpoint.server for endpoint in change.endpoints))
+        )
 
     def _post(self, event: interface.Event | RequestSubmitted) -> None:
         """Queue an event; the policy gets all events of one turn of the event loop at once."""
@@ -357,10 +362,10 @@
                 status=status,
                 elapsed_ns=clock.now() - attempt.started_at_ns,
                 terminal=not inflight.awaits_answer,
-                billed_units=answer.billed
+                billed_units=answer.billed_units
                 if answer is not None and status is interface.Status.DELIVERED
                 else None,
-                report=answer.report if answer is not None else (),
+                report=answer.load_report if answer is not None else (),
             )
         )
         self._ended_requests.append(request_id)
@@ -400,18 +405,18 @@
     def _set_timer(self, action: interface.Wake) -> None:
         self._post_timer_when_due(clock.now() + action.after_ns, action.token)
 
-    def _post_timer_when_due(self, due_ns: int, token: int) -> None:
+    def _post_timer_when_due(self, due_at_ns: int, token: int) -> None:
         """Post the timer's event if it is due, or else check again later.
 
         The event loop's clock is coarse and may fire early, while the policy sets each timer only once and
         must not get its event before it is due.
         """
-        until_due_ns = due_ns - clock.now()
-        if until_due_ns <= 0:
+        delay_ns = due_at_ns - clock.now()
+        if delay_ns <= 0:
             self._post(interface.Timer(token))
         else:
             self._loop.call_later(
-                math.ceil(until_due_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_ns, token
+                math.ceil(delay_ns / clock.NS_PER_MS) / 1000, self._post_timer_when_due, due_at_ns, token
             )
 
     def _call_counter(self, action: interface.Count) -> None:
--- a/gingerworks/policy/load_shedding.py
+++ b/gingerworks/policy/load_shedding.py
@@ -19,19 +19,21 @@
 from gingerworks import interface
 from gingerworks.policy.constants import SECOND, TARGET_AIM_FRACTIONS
 
-# Time over which load is remembered: long enough for several answers at a gateway that gets few requests.
+# Load is remembered over this time, which is long enough for several answers at a gateway that gets few
+# requests.
 LOAD_MEMORY_NS = 3 * SECOND
-# Number of answers in the target time that are assumed in addition to those seen.  With so many, the load
-# ratio varies by a tenth at random if the work of requests varies by as much as its mean.
+# The load ratio is computed as if so many answers had come in the target time, in addition to those seen.
+# With so many, random variation moves the ratio by a tenth, if the standard deviation of the work of requests
+# equals its mean.
 PRIOR_ANSWERS = 40.0
 # Requests are shed only at load ratios above this.  Without overload, random variation reaches about this
 # ratio, given the PRIOR_ANSWERS.
 LOAD_RATIO_TOLERANCE = 1.1
-# Exponent that sets how steeply shedding grows with the load ratio.  A tenth above LOAD_RATIO_TOLERANCE, half
+# This exponent sets how steeply shedding grows with the load ratio.  A tenth above LOAD_RATIO_TOLERANCE, half
 # of the requests of middle rank are refused: it is steep because queues cost the most.
 SHED_EXPONENT = 12.0
-# Fraction of the recorded work and worth that is kept at each new request, so that requests are ranked among
-# about the last hundred.
+# Each new request multiplies the recorded work and worth of earlier ones by this, so that requests are ranked
+# among about the last hundred.
 OFFER_MEMORY = 0.99
 
 
@@ -48,7 +50,7 @@
             * TARGET_AIM_FRACTIONS[0]
             * min(request_class.aim_ns for request_class in settings.classes)
         )
-        self.updated_ns = now
+        self.updated_at_ns = now
         # Recently offered work and worth of each request class and plan.
         self.offered_work_and_worth = {
             (c.name, p.name): [0.0, 0.0] for c in settings.classes for p in settings.plans
@@ -56,11 +58,11 @@
 
     def adjust_in_flight(self, change: int, now: int) -> None:
         """Account for the time since the last call, then change the number of attempts in flight."""
-        elapsed = now - self.updated_ns
+        elapsed = now - self.updated_at_ns
         fade = math.exp(-elapsed / LOAD_MEMORY_NS)
         self.time_in_flight_ns = self.time_in_flight_ns * fade + self.attempts_in_flight * elapsed
         self.time_allowed_ns *= fade
-        self.updated_ns = now
+        self.updated_at_ns = now
         self.attempts_in_flight += change
 
     def load_ratio(self, now: int) -> float:
